--- a/rackseam/__init__.py
+++ b/rackseam/__init__.py
@@ -1,1 +1,1 @@
-"""rackseam: the decisions of a storage gateway that keeps volumes to their reserves, shares and limits."""
+"""Decision module of a storage gateway: enforces the reserves, weights and limits of volumes."""
--- a/rackseam/benchlink.py
+++ b/rackseam/benchlink.py
@@ -1,4 +1,8 @@
-"""The bench's wire, nothing else: JSON lines in, JSON lines out; every decision is in control.py."""
+"""Adapter between the bench simulator and the decision module.
+
+Reads messages from standard input and writes replies to standard output, one JSON array per line. It only
+translates; every decision is in control.py.
+"""
 
 from __future__ import annotations
 
@@ -57,43 +61,43 @@
 
 
 class WireError(Exception):
-    """The input is not the wire."""
+    """A line of the input violates the protocol."""
 
 
 def settings_of(conf: dict[str, Any], seed: int) -> Settings:
-    """The start settings in the library's words; absent and null values take the library's defaults."""
+    """Settings from the simulator's start message; absent and null values take the defaults of `Settings`."""
 
-    def part(key: str) -> dict[str, Any]:
+    def section(key: str) -> dict[str, Any]:
         return conf.get(key) or {}
 
-    family, caps, rules = part("FamilyInfo"), part("Caps"), part("Obligations")
+    family, caps, rules = section("FamilyInfo"), section("Caps"), section("Obligations")
     writes = family.get("ClassWrites") or []
     classes = tuple(
         RequestClass(
-            aim_us=p.get("AimUs") or p["HardLimitUs"],
-            deadline_us=p["HardLimitUs"],
-            effect=Effect(p.get("Effect") or "safe"),
-            group=p.get("Group") or "all",
-            key_ttl_us=p.get("KeyTtlUs") or 0,
-            ordered=bool(p.get("FifoByKey")),
-            streaming=bool(p.get("Streaming")),
-            worth=_number(p, "Gain", 1.0),
-            late_worth=_number(p, "LateShare", 0.0),
+            aim_us=profile.get("AimUs") or profile["HardLimitUs"],
+            deadline_us=profile["HardLimitUs"],
+            effect=Effect(profile.get("Effect") or "safe"),
+            group=profile.get("Group") or "all",
+            key_ttl_us=profile.get("KeyTtlUs") or 0,
+            ordered=bool(profile.get("FifoByKey")),
+            streaming=bool(profile.get("Streaming")),
+            worth=_number(profile, "Gain", 1.0),
+            late_worth=_number(profile, "LateShare", 0.0),
             writes=bool(writes[i]) if i < len(writes) else False,
         )
-        for i, p in enumerate(conf.get("Profiles") or [])
+        for i, profile in enumerate(conf.get("Profiles") or [])
     )
     plans = tuple(
         Plan(
-            weight=_number(g, "Shares", 1.0),
-            reserve_units_per_s=_number(g, "FloorRate", 0.0),
-            limit_units_per_s=_number(g, "CeilingRate", 0.0),
-            burst_units=_number(g, "CapDepth", 0.0),
-            tolerance_units=_number(g, "Tolerance", 0.0),
-            usual_units_per_s=_number(g, "UsualRate", 0.0),
-            price=_number(g, "Price", 1.0),
+            weight=_number(grade, "Shares", 1.0),
+            reserve_units_per_s=_number(grade, "FloorRate", 0.0),
+            limit_units_per_s=_number(grade, "CeilingRate", 0.0),
+            burst_units=_number(grade, "CapDepth", 0.0),
+            tolerance_units=_number(grade, "Tolerance", 0.0),
+            usual_units_per_s=_number(grade, "UsualRate", 0.0),
+            price=_number(grade, "Price", 1.0),
         )
-        for g in conf.get("Grades") or []
+        for grade in conf.get("Grades") or []
     )
     return Settings(
         classes=classes,
@@ -143,111 +147,113 @@
     }
 
 
-def _members(m: list[Any]) -> Event:
-    entries = tuple(
+def _read_list(message: list[Any]) -> Event:
+    nodes = tuple(
         NodeEntry(
-            node=e[0],
-            zone=e[1] or 0,
-            kind=e[2] or 0,
-            shard=e[3],
-            state=NODE_STATES[e[4]],
-            rating=1.0 if e[5] is None else float(e[5]),
-            launched_us=(e[6] if len(e) > 6 else 0) or 0,
+            node=entry[0],
+            zone=entry[1] or 0,
+            kind=entry[2] or 0,
+            shard=entry[3],
+            state=NODE_STATES[entry[4]],
+            rating=1.0 if entry[5] is None else float(entry[5]),
+            launched_us=(entry[6] if len(entry) > 6 else 0) or 0,
         )
-        for e in m[4] or ()
+        for entry in message[4] or ()
     )
-    return ListUpdate(LIST_KINDS[m[2]], entries, m[3] or 0)
+    return ListUpdate(LIST_KINDS[message[2]], nodes, message[3] or 0)
 
 
-def _ask(m: list[Any]) -> Event:
-    options = (m[11] if len(m) > 11 else 0) or 0
+def _read_arrival(message: list[Any]) -> Event:
+    options = (message[11] if len(message) > 11 else 0) or 0
     return Arrival(
-        request=_text(m[2]),
-        request_class=_whole(m[3]),
-        plan=_whole(m[4] or 0),
-        key=m[5] or "",
-        grace_us=_whole(m[6]),
-        volume=m[7] or "",
-        units=float(m[8]),
-        shard=_whole(-1 if m[9] is None else m[9]),
-        gateways=_whole(m[10] or 1),
+        request=_string(message[2]),
+        request_class=_integer(message[3]),
+        plan=_integer(message[4] or 0),
+        key=message[5] or "",
+        grace_us=_integer(message[6]),
+        volume=message[7] or "",
+        units=float(message[8]),
+        shard=_integer(-1 if message[9] is None else message[9]),
+        gateways=_integer(message[10] or 1),
         repeat=bool(options & REPEAT_BIT),
         write=bool(options & WRITE_BIT),
     )
 
 
-def _response(m: list[Any]) -> Event:
+def _read_answer(message: list[Any]) -> Event:
     return Answer(
-        request=_text(m[2]),
-        closed=bool(m[3]),
-        elsewhere_units=float(m[4] or 0),
-        attempt=_whole(m[5]),
-        use_percent_plus_one=_whole(m[6] or 0),
-        outcome=OUTCOMES.get(m[7], Outcome.UNKNOWN),
-        node=_text(m[8]),
-        rtt_us=_whole(m[9] or 0),
-        report=_report(m[10] if len(m) > 10 else None),
+        request=_string(message[2]),
+        closed=bool(message[3]),
+        elsewhere_units=float(message[4] or 0),
+        attempt=_integer(message[5]),
+        use_percent_plus_one=_integer(message[6] or 0),
+        outcome=OUTCOMES.get(message[7], Outcome.UNKNOWN),
+        node=_string(message[8]),
+        rtt_us=_integer(message[9] or 0),
+        report=_report(message[10] if len(message) > 10 else None),
     )
 
 
-def _text(value: Any) -> str:
+def _string(value: Any) -> str:
     if not isinstance(value, str):
-        raise TypeError(f"not a text: {value!r}")
+        raise TypeError(f"expected a string, got {value!r}")
     return value
 
 
-def _whole(value: Any) -> int:
+def _integer(value: Any) -> int:
     if not isinstance(value, int | float) or isinstance(value, bool) or value != int(value):
-        raise TypeError(f"not a whole number: {value!r}")
+        raise TypeError(f"expected an integer, got {value!r}")
     return int(value)
 
 
 READERS: dict[str, Callable[[list[Any]], Event]] = {
-    "Registry": _members,
-    "Ask": _ask,
-    "Response": _response,
-    "Started": lambda m: Began(_text(m[2]), _whole(m[4]), _text(m[5]), _whole(m[3] or 0)),
-    "Abandoned": lambda m: Withdrawn(_text(m[2])),
-    "Bell": lambda m: Timer(_text(m[2])),
-    "Sampled": lambda m: ProbeResult(
-        _text(m[2]),
-        OUTCOMES.get(m[3], Outcome.UNKNOWN),
-        _whole(m[4] or 0),
-        _report(m[5] if len(m) > 5 else None),
+    "Registry": _read_list,
+    "Ask": _read_arrival,
+    "Response": _read_answer,
+    "Started": lambda message: Began(
+        _string(message[2]), _integer(message[4]), _string(message[5]), _integer(message[3] or 0)
+    ),
+    "Abandoned": lambda message: Withdrawn(_string(message[2])),
+    "Bell": lambda message: Timer(_string(message[2])),
+    "Sampled": lambda message: ProbeResult(
+        _string(message[2]),
+        OUTCOMES.get(message[3], Outcome.UNKNOWN),
+        _integer(message[4] or 0),
+        _report(message[5] if len(message) > 5 else None),
     ),
-    "Memo": lambda m: PeerMessage(_whole(m[2]), base64.b64decode(m[3] or "")),
+    "Memo": lambda message: PeerMessage(_integer(message[2]), base64.b64decode(message[3] or "")),
 }
 
 
-def wire_of(who: int, action: Action) -> list[Any]:
-    """One action as a wire message."""
+def encode_action(instance: int, action: Action) -> list[Any]:
+    """The protocol message for one action of an instance."""
     match action:
         case Send(request, node, timeout_us):
-            return ["PassOn", who, request, node, timeout_us]
+            return ["PassOn", instance, request, node, timeout_us]
         case SetTimer(tag, in_us):
-            return ["NotifyMe", who, tag, in_us]
+            return ["NotifyMe", instance, tag, in_us]
         case Refuse(request, pause_us):
-            return ["NotNow", who, request, pause_us]
+            return ["NotNow", instance, request, pause_us]
         case Fail(request):
-            return ["Lose", who, request]
+            return ["Lose", instance, request]
         case Cancel(request, attempt):
-            return ["Revoke", who, request, attempt]
+            return ["Revoke", instance, request, attempt]
         case Subscribe(want):
-            return ["Observe", who, want]
+            return ["Observe", instance, want]
         case FetchList():
-            return ["GetList", who]
+            return ["GetList", instance]
         case Probe(node):
-            return ["Probe", who, node]
+            return ["Probe", instance, node]
         case Disconnect(node):
-            return ["LetGo", who, node]
+            return ["LetGo", instance, node]
         case Message(to, payload):
-            return ["Publish", who, to, base64.b64encode(payload).decode("ascii")]
+            return ["Publish", instance, to, base64.b64encode(payload).decode("ascii")]
         case Log(text):
-            return ["Print", who, text]
+            return ["Print", instance, text]
 
 
 class Link:
-    """Groups a batch's events by instance and writes one reply."""
+    """Collects the events of a batch by instance, and writes all replies at its end."""
 
     def __init__(self, out: TextIO) -> None:
         self.out = out
@@ -256,65 +262,67 @@
         self.replies: list[list[Any]] = []
         self.now_us: int | None = None
 
-    def line(self, text: str) -> None:
+    def handle_line(self, text: str) -> None:
+        """Process one line of input. Raises WireError."""
         try:
             message = json.loads(text)
         except ValueError:
-            raise WireError(f"not JSON: {text[:80]!r}") from None
+            raise WireError(f"line is not valid JSON: {text[:80]!r}") from None
         if not isinstance(message, list) or not message or not isinstance(message[0], str):
-            raise WireError(f"not a message: {text[:80]!r}")
+            raise WireError(f"line is not an array that starts with a message name: {text[:80]!r}")
         try:
-            self.message(message)
+            self._handle_message(message)
         except (TypeError, KeyError, IndexError, ValueError, AttributeError) as error:
-            raise WireError(f"malformed {message[0]}: {error}") from None
+            raise WireError(f"malformed {message[0]} message: {error}") from None
 
-    def message(self, m: list[Any]) -> None:
-        name = m[0]
+    def _handle_message(self, message: list[Any]) -> None:
+        name = message[0]
         if name == "Sync":
-            self.now_us = _whole(m[1])
+            self.now_us = _integer(message[1])
         elif name == "Flush":
             if self.now_us is None:
-                raise ValueError("no Sync before it")
-            self.run(list(self.pending))
+                raise ValueError("no Sync message before it")
+            self._run_batch(list(self.pending))
             self.now_us = None
             self.replies.append(["Finished"])
-            self.out.write("".join(json.dumps(r, separators=(",", ":")) + "\n" for r in self.replies))
+            self.out.write("".join(json.dumps(reply, separators=(",", ":")) + "\n" for reply in self.replies))
             self.out.flush()
             self.replies = []
         elif name == "Hello":
-            who = _whole(m[1])
-            self.controllers[who] = Controller(settings_of(m[3], _whole(m[2] or 0)))
-            self.pending[who] = []
+            instance = _integer(message[1])
+            self.controllers[instance] = Controller(settings_of(message[3], _integer(message[2] or 0)))
+            self.pending[instance] = []
         elif name == "Teardown":
-            who = _whole(m[1])
-            self.pending.pop(who, None)
-            self.controllers.pop(who, None)
+            instance = _integer(message[1])
+            self.pending.pop(instance, None)
+            self.controllers.pop(instance, None)
         elif name in READERS:
-            who = _whole(m[1])
-            if who not in self.controllers:
-                raise ValueError(f"instance {who} was never started")
-            self.pending.setdefault(who, []).append(READERS[name](m))
-
-    def run(self, instances: list[int]) -> None:
-        for who in instances:
-            events = self.pending.pop(who, None)
-            controller = self.controllers.get(who)
+            instance = _integer(message[1])
+            if instance not in self.controllers:
+                raise ValueError(f"instance {instance} has not been started")
+            self.pending.setdefault(instance, []).append(READERS[name](message))
+
+    def _run_batch(self, instances: list[int]) -> None:
+        for instance in instances:
+            events = self.pending.pop(instance, None)
+            controller = self.controllers.get(instance)
             if events is None or controller is None or self.now_us is None:
                 continue
             try:
                 actions = controller.handle(self.now_us, events)
             except Exception as error:
-                self.replies.append(["Bug", who, f"{type(error).__name__}: {error}"[:200]])
+                self.replies.append(["Bug", instance, f"{type(error).__name__}: {error}"[:200]])
                 continue
-            self.replies.extend(wire_of(who, action) for action in actions)
+            self.replies.extend(encode_action(instance, action) for action in actions)
 
 
 def main() -> int:
+    """Serve standard input until its end; exit status 2: the input violates the protocol."""
     link = Link(sys.stdout)
     try:
         for text in sys.stdin:
             if text.strip():
-                link.line(text)
+                link.handle_line(text)
     except WireError as error:
         print(f"rackseam: {error}", file=sys.stderr)
         return 2
--- a/rackseam/control.py
+++ b/rackseam/control.py
@@ -1,8 +1,11 @@
-"""The decisions of one storage gateway, after "Lustre NRS TBF Policy"; types: rackseam/interface.py.
+"""Scheduling decisions of one storage gateway, modelled on the "Lustre NRS TBF Policy".
 
-Per volume a FIFO queue (one lane for each shard) and a token bucket filled lazily; lanes' heads wait in a
-heap by the deadline at which their tokens suffice. At a node that is behind, heads with tokens go by a tag
-growing by units over weight, those inside the reserve first. Units out at a node are capped.
+Each volume has a FIFO queue, with one lane per shard, and a token bucket that is refilled on access. The head
+of a lane becomes ready when its tokens suffice. While a node is overloaded, ready heads are served in weighted
+fair order, by a tag that grows by units divided by weight; heads within their volume's reserve go first. The
+units in flight at a node are capped. The types of events and actions are in rackseam/interface.py.
+
+An aim is the target latency of a request class; the tightest aim is the smallest of all classes.
 """
 
 from __future__ import annotations
@@ -19,141 +22,154 @@
 from rackseam.interface import Action, Effect, ListKind, NodeState, Outcome, Settings
 from rackseam.slow_start import CONTENDERS_MEMORY_US, NodeHistory, Shares, SlowStart, contending_gateways
 
-AIM_PART = 0.15  # part of the tightest aim that a node's units out may take to serve (design)
-LEAST_OUT = 4.0  # requests of mean size that may be out at any node: keeps its cores busy (design)
-MOST_OUT = 32.0  # requests of mean size out at a node at most: bounds what one failure strands (design)
-RATE_MEMORY_US = 1_000_000.0  # units a second at a node are averaged over about this long
-RTT_GAIN = 0.2  # least weight of a new answer in a mean answer time: about the last five answers count
-RTT_MEMORY_US = 2_000_000.0  # after about this long without an answer a node counts as the others do again
-PATIENCE_AIMS = 2.0  # a node with work out and no answer for this many tightest aims counts as silent
-LOSS_GAIN = 0.07  # weight of one attempt in the share of answers that seem lost: about fifteen attempts
-LOSS_SHOWN = 0.06  # from this share on answers count as being lost
-LOST_QUICK = 0.5  # ... if an answer that follows them takes less than this part of the tightest aim
-LOST_WITHIN = 4.0  # ... and comes within this many tightest aims of the time-out
-LOST_AFTER = 3.0  # ... and an attempt is given up after this many times its expected answer time
-EXPECT_MOST = 0.7  # an answer is never expected later than this part of the aim after its sending
-SIZE_PART = 0.75  # part of an answer's time taken to grow with the request's units; the rest is waiting
-BROKEN_MOST = 4  # after so many broken connections without an answer between a node counts as silent
-TRIAL_GROWTH = 1.6  # each unanswered trial at a silent node lengthens the wait for the next by this
-TRIAL_MOST_AIMS = 4.0  # ... up to this many tightest aims, so that its return is noticed soon
-CHOICES = 4  # nodes looked at for a new object: as good as all when news are old, and no gateway herd forms
-FULL_REST_AIMS = 0.1  # a node that turned work away is left alone this part of the tightest aim
-LIST_RETRY_US = 500_000.0  # first wait after a failed list call; doubles up to the stated longest silence
-LIST_RETRY_MOST_US = 8_000_000.0  # longest wait between list calls when nothing is stated
-HELD_PART = 0.48  # a request not sent within its aim or this part of its time is given up, whichever is less
-SAME_DUE_US = 30_000  # a next try is due when its first was, but for the time its messages took
-FOREVER = 1 << 62
-
-# What is known never to have run may be sent anew by any class.
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
-STILL_RUNNING = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.UNKNOWN})
-
-
-_What = tuple[str, str, int, float]  # volume, key, class, units
+IN_FLIGHT_AIM_FRACTION = 0.15  # serving the units in flight at a node may take this part of the tightest aim
+MIN_IN_FLIGHT_REQUESTS = 4.0  # requests of mean size allowed in flight at any node: keeps its cores busy
+MAX_IN_FLIGHT_REQUESTS = 32.0  # requests of mean size: bounds how many are lost when one node fails
+RATE_TIME_CONSTANT_US = 1_000_000.0  # averaging time of the units per second served by a node
+RTT_GAIN = 0.2  # minimum weight of a new answer in a mean answer time, which covers about five answers
+RTT_TIME_CONSTANT_US = 2_000_000.0  # without answers a node's mean answer time decays to the overall mean
+SILENCE_TIMEOUT_AIMS = 2.0  # tightest aims with work in flight and no answer until a node counts as silent
+LOSS_GAIN = 0.07  # weight of one attempt in the fraction of lost answers, which covers about fifteen attempts
+LOSS_THRESHOLD = 0.06  # fraction of lost answers from which attempts time out early and are repeated
+LOSS_MAX_RTT_AIMS = 0.5  # a time-out counts as a lost answer if the next answer takes less than this
+LOSS_WINDOW_AIMS = 4.0  # ... and comes within this many tightest aims of the time-out
+LOSS_TIMEOUT_RTTS = 3.0  # expected answer times after which an attempt is given up while answers are lost
+MAX_EXPECTED_AIM_FRACTION = 0.7  # upper bound of an expected answer time, as a fraction of the request's aim
+SIZE_RTT_FRACTION = 0.75  # fraction of an answer time assumed to grow with the request's units
+MAX_BROKEN_CONNECTIONS = 4  # broken connections without an answer in between until a node counts as silent
+TRIAL_BACKOFF_FACTOR = 1.6  # growth of the interval between trials at a silent node, per unanswered trial
+MAX_TRIAL_INTERVAL_AIMS = 4.0  # tightest aims; bounds the interval so that a node's return is noticed soon
+SAMPLED_NODES = 4  # candidates for a new object: as good as all with stale data, and gateways don't converge
+RETRY_DELAY_AIMS = 0.1  # tightest aims for which a node that refused work gets none
+LIST_RETRY_US = 500_000.0  # delay after the first failed list call; doubles up to the configured maximum
+MAX_LIST_RETRY_US = 8_000_000.0  # longest interval between list calls if none is configured
+HOLD_TIME_FRACTION = 0.48  # an unsent request is given up after its aim or this part of its time, if less
+DEADLINE_TOLERANCE_US = 30_000  # deadlines of a request and its retry differ only by message delays
+NO_TIMER = 1 << 62
+
+# Attempts that were certainly not executed; any request class may be sent again.
+NOT_EXECUTED = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
+MAYBE_RUNNING = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED, Outcome.UNKNOWN})
+
+
+_RetryKey = tuple[str, str, int, float]  # volume, key, class, units: equal for a request and its retry
 
 
 class _Request:
     def __init__(
-        self, e: api.Arrival, cls: api.RequestClass, lane: _Lane, now: int, seq: int, aim_at: int | None
+        self,
+        arrival: api.Arrival,
+        class_settings: api.RequestClass,
+        lane: _Lane,
+        now: int,
+        seq: int,
+        aim_at: int | None,
     ) -> None:
-        self.id, self.cls, self.lane, self.seq = e.request, cls, lane, seq
-        self.units, self.key, self.since = e.units, e.key, now
-        # What a client's next try wants within the aim began with its first try. It must not take the room of
+        self.id, self.class_settings, self.lane, self.seq = arrival.request, class_settings, lane, seq
+        self.units, self.key, self.arrived_at = arrival.units, arrival.key, now
+        # The aim of a client's retry counts from its first try, so that the retry does not take capacity from
         # requests that can still be in time.
-        self.due_at = now + e.grace_us
-        self.aim_at = now + min(cls.aim_us, e.grace_us) if aim_at is None else aim_at
-        self.what = (e.volume, e.key, e.request_class, e.units)
-        self.attempts: list[tuple[_Node, int] | None] = []  # None once its outcome is known
-        self.out, self.turn = 0, (self.aim_at, seq)
-        self.ran_at = -1  # when the first attempt that may have run was sent
-        self.bound: _Node | None = None  # the node of that attempt: repeats stay within its group
-        self.held_until = min(now + int(e.grace_us * HELD_PART), self.aim_at)
-        self.paid = self.queued = self.late = self.over = self.began = self.reached = False
-        self.aside, self.spent_at = False, 0  # units are set aside for it that no node has yet; since when
-        self.waits = False  # it counts among what waits in its lane
-        self.lacked_limit = False  # it has waited at the head of its queue for tokens
+        self.deadline_at = now + arrival.grace_us
+        self.aim_at = now + min(class_settings.aim_us, arrival.grace_us) if aim_at is None else aim_at
+        self.retry_key = (arrival.volume, arrival.key, arrival.request_class, arrival.units)
+        self.attempts: list[tuple[_Node, int] | None] = []  # (node, sent at); None once the outcome is known
+        self.in_flight, self.queue_key = 0, (self.aim_at, seq)
+        self.maybe_ran_at = -1  # send time of the first attempt that may have been executed
+        self.bound_node: _Node | None = None  # node of that attempt: repeats stay within its group
+        self.hold_until = min(now + int(arrival.grace_us * HOLD_TIME_FRACTION), self.aim_at)
+        self.tokens_spent = self.queued = self.late = self.finished = self.streaming = self.reached_node = (
+            False
+        )
+        self.spend_pending, self.spent_at = False, 0  # tokens are spent, but no node has received the request
+        self.counted = False  # included in the queued units of its lane
+        self.waited_for_tokens = False  # has been the head of its lane without enough tokens
 
 
 class _Node:
     def __init__(self, node: str) -> None:
         self.id, self.shard, self.zone, self.ready, self.place = node, -1, 0, False, -1
         self.history = NodeHistory(node)
-        self.missed = self.missed_at = 0
-        self.out_units, self.rate, self.rate_at, self.rtt, self.rtt_at = 0.0, 0.0, 0, 0.0, 0
-        self.alive_at = self.alone_until = self.wake_at = 0
+        self.timeouts = self.last_timeout_at = 0  # time-outs since the last answer
+        self.in_flight_units, self.rate, self.rate_at, self.rtt, self.rtt_at = 0.0, 0.0, 0, 0.0, 0
+        self.heard_at = self.paused_until = self.recheck_at = 0
         self.broken = 0  # connections broken since the last answer; refused ones count twice
-        self.trial_wait = 0.0  # above 0 while the node counts as silent
+        self.trial_interval = 0.0  # microseconds; above 0 while the node counts as silent
 
 
 class _Volume:
     def __init__(
-        self, plan: api.Plan, part: LimitPart | None, gateways: int, now: int, largest: float
+        self, plan: api.Plan, part: LimitPart | None, gateways: int, now: int, max_units: float
     ) -> None:
         self.plan, self.part, self.gateways = plan, part, gateways
-        self.reserve_most = plan.reserve_units_per_s + largest if plan.reserve_units_per_s else 0.0
-        self.reserve, self.reserve_at = self.reserve_most, now
+        self.reserve_depth = plan.reserve_units_per_s + max_units if plan.reserve_units_per_s else 0.0
+        self.reserve, self.reserve_at = self.reserve_depth, now
         self.lanes: dict[int, _Lane] = {}
-        self.waiting = 0.0  # units queued in all lanes
+        self.queued_units = 0.0  # in all lanes
 
 
 class _Lane:
-    """A volume's queue at one shard: FIFO by arrival, also for requests that come back."""
+    """A volume's queue at one shard: FIFO by arrival, also for requests that are queued again."""
 
     def __init__(self, volume: _Volume, shard: _Shard) -> None:
         self.volume, self.shard, self.tag, self.version = volume, shard, 0.0, 0
         self.heap: list[tuple[tuple[int, int], _Request]] = []
-        self.waiting = 0.0  # units queued that can still keep their aim
-        self.waiting_weight = 0.0  # what it adds to the shard's backlog
+        self.queued_units = 0.0  # of requests that can still meet their aim
+        self.backlog_weight = 0.0  # weight of this lane in the shard's backlog
 
 
 class _Shard:
     def __init__(self, number: int) -> None:
-        self.number, self.tag, self.asked_at = number, 0.0, -1
+        self.number, self.tag, self.requested_at = number, 0.0, -1
         self.nodes: list[_Node] = []
         self.backlog = Backlog()
-        self.reserved: list[tuple[float, int, int, _Lane]] = []  # by the time the reserve suffices
-        self.tagged: list[tuple[float, int, int, _Lane]] = []  # by the weight tag
-        self.late: list[tuple[int, int, _Request]] = []  # past their aim, by what is left of their time
+        self.by_reserve: list[
+            tuple[float, int, int, _Lane]
+        ] = []  # ready lanes by the time the reserve suffices
+        self.by_tag: list[tuple[float, int, int, _Lane]] = []  # ready lanes by the weight tag
+        self.late: list[tuple[int, int, _Request]] = []  # requests past their aim, by deadline
 
 
 class Controller:
-    """One gateway's decisions: hand every batch of events to `handle` and carry out what it returns."""
+    """One gateway's decisions: pass each batch of events to `handle` and carry out the returned actions."""
 
     def __init__(self, settings: Settings, buckets: Buckets | None = None) -> None:
-        """`buckets`: what may be spent of limits; None: this process alone has the gateway's part."""
+        """`buckets`: the token buckets of limits; None: this process alone uses the gateway's part."""
         self.s = settings
         self.buckets: Buckets = buckets or LimitBuckets(settings.max_units)
-        self.sharers, self.rank = 1, 0  # processes of this gateway, and this one's number among them
+        self.sharers, self.rank = 1, 0  # number of processes of this gateway, and this one's index
         self.random = random.Random(settings.seed)
-        self.aim = float(min(c.aim_us for c in settings.classes))
-        self.margin = 2 * settings.step_us
+        self.tightest_aim = float(min(c.aim_us for c in settings.classes))
+        self.margin_us = 2 * settings.step_us
         self.now = self.seq = 0
-        self.started_at, self.loss = -1, 0.0
-        self.bell_at = FOREVER
+        self.started_at, self.loss = -1, 0.0  # `loss`: fraction of answers that seem to be lost
+        self.timer_at = NO_TIMER
         self.actions: list[Action] = []
-        self.held: list[tuple[str, float]] | None = None  # who waits how long for tokens, if anyone asks
-        self.alarms: list[tuple[int, int, Callable[[], None], _Request | None]] = []
+        self.held: list[tuple[str, float]] | None = None  # (request, wait for tokens) if they are recorded
+        self.scheduled: list[tuple[int, int, Callable[[], None], _Request | None]] = []
         self.requests: dict[str, _Request] = {}
         self.volumes: dict[tuple[str, int], _Volume] = {}
         self.nodes: dict[str, _Node] = {}
-        self.listed: list[_Node] = []  # the ready ones, each at its `place`
-        self.leaving: dict[str, _Node] = {}  # not ready: forgotten once nothing is out there
-        self.all = _Node("")  # the mean answer time and the summed rate of all nodes
+        self.listed: list[_Node] = []  # the ready nodes, each at its index `place`
+        self.leaving: dict[
+            str, _Node
+        ] = {}  # nodes that are not ready; dropped once nothing is in flight there
+        self.all_nodes = _Node("")  # mean answer time and total rate of all nodes
         self.shards: dict[int, _Shard] = {}
-        self.chains: dict[str, deque[_Request]] = {}
-        self.rests: dict[str, int] = {}
-        self.unserved: dict[_What, list[tuple[int, int]]] = {}  # what clients may ask again: due, aim
-        self.unserved_order: deque[tuple[int, _What]] = deque()
-        self.taken: deque[int] = deque()
-        self.resent: deque[int] = deque()
-        self.list_wait, self.list_call = LIST_RETRY_US, 0
-        self.list_longest = settings.ask_every_us * 0.5 or LIST_RETRY_MOST_US
+        self.key_queues: dict[str, deque[_Request]] = {}
+        self.key_rests: dict[str, int] = {}  # when the next request of an ordered key may be sent
+        self.expected_retries: dict[_RetryKey, list[tuple[int, int]]] = {}  # unserved: (deadline, aim)
+        self.retry_expiries: deque[tuple[int, _RetryKey]] = deque()
+        self.arrival_times: deque[int] = deque()
+        self.resend_times: deque[int] = deque()
+        self.list_retry_us, self.list_call = LIST_RETRY_US, 0
+        self.max_list_wait_us = settings.ask_every_us * 0.5 or MAX_LIST_RETRY_US
         self.slow_start = SlowStart(settings, 0)
-        self.contenders, self.contenders_at = float(settings.gateways), 0
-        self.kicked: dict[int, _Shard] = {}
-        self.others = self.shards[-1] = _Shard(-1)
+        self.contenders, self.contenders_until = float(settings.gateways), 0
+        self.unserved_shards: dict[int, _Shard] = {}  # to be served after the current event
+        self.new_objects = self.shards[-1] = _Shard(-1)  # requests that any node may take
 
     def handle(self, now_us: int, events: Sequence[api.Event]) -> list[Action]:
+        """Process a batch of events that happened until `now_us`; the actions to carry out, in order."""
         self.now = now_us
         if self.started_at < 0:
             self.started_at = now_us
@@ -164,58 +180,60 @@
         for event in events:
             match event:
                 case api.Answer():
-                    self._answer(event)
+                    self._handle_answer(event)
                 case api.Arrival():
-                    self._arrival(event)
+                    self._handle_arrival(event)
                 case api.ListUpdate():
-                    self._list(event)
+                    self._handle_list(event)
                 case api.Began(request) if request in self.requests:
-                    self.requests[request].began = True
+                    self.requests[request].streaming = True
                     if event.node in self.nodes:
-                        self._heard(self.nodes[event.node], event.rtt_us)
+                        self._record_response(self.nodes[event.node], event.rtt_us)
                 case api.Withdrawn(request) if request in self.requests:
                     self._cancel(self.requests[request])
                     self._finish(self.requests[request])
                 case api.LimitsChanged(volume, plan):
-                    self._limits_changed(volume, plan)
+                    self._handle_limits_changed(volume, plan)
                 case api.SharersChanged(sharers, rank):
                     self.sharers, self.rank = sharers, rank
                 case api.ProbeResult(node, Outcome.DONE) if node in self.nodes:
-                    self._heard(self.nodes[node], 0)
-            self._settle()
-        self.bell_at = self.bell_at if self.bell_at > now_us else FOREVER
-        while self.alarms and self.alarms[0][0] <= now_us:
-            heappop(self.alarms)[2]()
-            self._settle()
-        while self.alarms and (r := self.alarms[0][3]) is not None and r.over:
-            heappop(self.alarms)  # most requests are over long before their alarms: these ring no bell
-        if self.alarms and self.alarms[0][0] < self.bell_at:
-            self.bell_at = self.alarms[0][0]
-            self.actions.append(api.SetTimer("due", self.bell_at - now_us))
-        done, self.actions = self.actions, []
-        return done
-
-    def _kick(self, shard: _Shard) -> None:
-        """Serve a shard once the event in hand is done: serving must never start inside serving."""
-        self.kicked[shard.number] = shard
-
-    def _settle(self) -> None:
-        while self.kicked:
-            self._serve(self.kicked.pop(next(iter(self.kicked))))
-
-    def _at(self, when: float, call: Callable[[], None], r: _Request | None = None) -> None:
-        """Call then, unless the request is over."""
+                    self._record_response(self.nodes[node], 0)
+            self._serve_marked()
+        self.timer_at = self.timer_at if self.timer_at > now_us else NO_TIMER
+        while self.scheduled and self.scheduled[0][0] <= now_us:
+            heappop(self.scheduled)[2]()
+            self._serve_marked()
+        while self.scheduled and (owner := self.scheduled[0][3]) is not None and owner.finished:
+            heappop(
+                self.scheduled
+            )  # most requests finish long before their calls are due: set no timer for them
+        if self.scheduled and self.scheduled[0][0] < self.timer_at:
+            self.timer_at = self.scheduled[0][0]
+            self.actions.append(api.SetTimer("due", self.timer_at - now_us))
+        actions, self.actions = self.actions, []
+        return actions
+
+    def _mark_shard(self, shard: _Shard) -> None:
+        """Serve the shard after the current event: serving must not be re-entered."""
+        self.unserved_shards[shard.number] = shard
+
+    def _serve_marked(self) -> None:
+        while self.unserved_shards:
+            self._serve(self.unserved_shards.pop(next(iter(self.unserved_shards))))
+
+    def _schedule(self, when: float, call: Callable[[], None], owner: _Request | None = None) -> None:
+        """Run `call` at `when`; it may be dropped once the request `owner` has finished."""
         self.seq += 1
-        heappush(self.alarms, (max(self.now + 1, math.ceil(when)), self.seq, call, r))
+        heappush(self.scheduled, (max(self.now + 1, math.ceil(when)), self.seq, call, owner))
 
-    # --- the list of nodes
+    # --- node list
 
     def _subscribe(self) -> None:
         self.actions.append(api.Subscribe())
-        # An answer that never comes must not leave the list to rot.
-        self._subscribe_at(self.list_longest)
+        # Subscribe again if no answer comes, or the list would grow stale.
+        self._subscribe_after(self.max_list_wait_us)
 
-    def _subscribe_at(self, wait: float) -> None:
+    def _subscribe_after(self, wait_us: float) -> None:
         self.list_call += 1
         call = self.list_call
 
@@ -223,31 +241,31 @@
             if call == self.list_call:
                 self._subscribe()
 
-        self._at(self.now + wait, again)
+        self._schedule(self.now + wait_us, again)
 
-    def _list(self, e: api.ListUpdate) -> None:
-        if e.kind is ListKind.FAILED:
-            # All gateways fail together when the list is down: spread and lengthen the waits.
-            wait = self.list_wait * (0.5 + self.random.random())
-            self.list_wait = min(self.list_wait * 2, LIST_RETRY_MOST_US, self.list_longest)
-            self._subscribe_at(wait)
+    def _handle_list(self, update: api.ListUpdate) -> None:
+        if update.kind is ListKind.FAILED:
+            # When the list service is down all gateways fail together: spread and lengthen their retries.
+            wait_us = self.list_retry_us * (0.5 + self.random.random())
+            self.list_retry_us = min(self.list_retry_us * 2, MAX_LIST_RETRY_US, self.max_list_wait_us)
+            self._subscribe_after(wait_us)
             return
-        if e.kind is not ListKind.CACHED:
-            self.list_wait = LIST_RETRY_US
+        if update.kind is not ListKind.CACHED:
+            self.list_retry_us = LIST_RETRY_US
             self.list_call += 1
-        touched: dict[int, None] = {}
-        if e.kind is not ListKind.DELTA:
-            named = {entry.node for entry in e.nodes}
+        changed_shards: dict[int, None] = {}
+        if update.kind is not ListKind.DELTA:
+            listed_names = {entry.node for entry in update.nodes}
             for node in self.nodes.values():
-                if node.id not in named:
+                if node.id not in listed_names:
                     self._set_ready(node, False)
-        for entry in e.nodes:
+        for entry in update.nodes:
             known = self.nodes.get(entry.node)
             if known is None:
                 known = self.nodes[entry.node] = _Node(entry.node)
             if entry.launched_us > known.history.launched and known.history.launched + known.rate_at > 0:
-                # A fresh start voids what was learned of the node before.
-                known.rate, known.rtt_at, known.trial_wait, known.alone_until = 0.0, 0, 0.0, 0
+                # The node has restarted: discard what was measured before.
+                known.rate, known.rtt_at, known.trial_interval, known.paused_until = 0.0, 0, 0.0, 0
             if entry.launched_us > known.history.launched:
                 known.history.restarted(entry.launched_us)
             known.zone = entry.zone
@@ -257,16 +275,16 @@
                 known.shard = entry.shard
                 self.shards.setdefault(entry.shard, _Shard(entry.shard)).nodes.append(known)
             self._set_ready(known, entry.state is NodeState.READY)
-            touched[entry.shard] = None
-        for node in [n for n in self.leaving.values() if not n.history.out]:
+            changed_shards[entry.shard] = None
+        for node in [n for n in self.leaving.values() if not n.history.in_flight]:
             del self.nodes[node.id], self.leaving[node.id]
             self.shards[node.shard].nodes.remove(node)
-        for number in touched:
-            self._kick(self.shards[number])
-        self._kick(self.others)
+        for number in changed_shards:
+            self._mark_shard(self.shards[number])
+        self._mark_shard(self.new_objects)
 
     def _set_ready(self, node: _Node, ready: bool) -> None:
-        """The last takes the place that is left: one changed entry must not cost with all nodes."""
+        """Add the node to the ready ones or remove it, in constant time: the last one takes its place."""
         if ready and node.place < 0:
             node.place = len(self.listed)
             self.listed.append(node)
@@ -280,622 +298,718 @@
         if not ready:
             self.leaving[node.id] = node
 
-    # --- requests in
+    # --- arriving requests
 
-    def _arrival(self, e: api.Arrival) -> None:
+    def _handle_arrival(self, arrival: api.Arrival) -> None:
         for name, known in (("request_class", self.s.classes), ("plan", self.s.plans)):
-            if not 0 <= getattr(e, name) < len(known):
-                raise ValueError(f"{name}: {getattr(e, name)} is not among the settings'")
-        if e.request in self.requests:
+            if not 0 <= getattr(arrival, name) < len(known):
+                raise ValueError(f"{name}: {getattr(arrival, name)} is not defined in the settings")
+        if arrival.request in self.requests:
             return
-        cls = self.s.classes[e.request_class]
-        volume = self._volume(e)
-        shard = self.shards.setdefault(e.shard, _Shard(e.shard))
-        shard.asked_at = self.now
-        lane = volume.lanes.setdefault(e.shard, _Lane(volume, shard))
+        class_settings = self.s.classes[arrival.request_class]
+        volume = self._volume_for(arrival)
+        shard = self.shards.setdefault(arrival.shard, _Shard(arrival.shard))
+        shard.requested_at = self.now
+        lane = volume.lanes.setdefault(arrival.shard, _Lane(volume, shard))
         self.seq += 1
-        r = _Request(e, cls, lane, self.now, self.seq, self._first_aim(e))
-        self.requests[e.request] = r
+        request = _Request(arrival, class_settings, lane, self.now, self.seq, self._aim_of_first_try(arrival))
+        self.requests[arrival.request] = request
         if self.s.resend_ratio is not None:
-            self.taken.append(self.now)
-        self._at(r.due_at - self.margin, lambda: self._expire(r), r)
-        self._at(r.held_until, lambda: self._unsent(r), r)
-        if cls.ordered and e.key:
-            chain = self.chains.setdefault(e.key, deque())
-            chain.append(r)
-            if chain[0] is not r or self.rests.get(e.key, 0) > self.now:
+            self.arrival_times.append(self.now)
+        self._schedule(request.deadline_at - self.margin_us, lambda: self._expire(request), request)
+        self._schedule(request.hold_until, lambda: self._expire_unsent(request), request)
+        if class_settings.ordered and arrival.key:
+            key_queue = self.key_queues.setdefault(arrival.key, deque())
+            key_queue.append(request)
+            if key_queue[0] is not request or self.key_rests.get(arrival.key, 0) > self.now:
                 return
-        if self._hopeless(r):
-            self._end(r)
+        if self._would_miss_aim(request):
+            self._refuse_or_fail(request)
         else:
-            self._enqueue(r)
-
-    def _hopeless(self, r: _Request) -> bool:
-        """Whether what stands before it takes it past its aim, by the pace its nodes and its limit show."""
-        lane, volume, shard = r.lane, r.lane.volume, r.lane.shard
-        left = r.aim_at - self.now
-        if self.sharers == 1 and volume.part is not None and volume.waiting:
-            alone = self._short(r)
-            if limit_wait_us(alone, volume.waiting, volume.part.rate) > left + self.aim:
-                r.lacked_limit = True
+            self._enqueue(request)
+
+    def _would_miss_aim(self, request: _Request) -> bool:
+        """Whether the queue ahead takes the request past its aim, at the rate of its nodes or its limit."""
+        lane, volume, shard = request.lane, request.lane.volume, request.lane.shard
+        time_left = request.aim_at - self.now
+        if self.sharers == 1 and volume.part is not None and volume.queued_units:
+            alone = self._token_wait_us(request)
+            if limit_wait_us(alone, volume.queued_units, volume.part.rate) > time_left + self.tightest_aim:
+                request.waited_for_tokens = True
                 return True
         if shard.number < 0 or shard.backlog.standing_since < 0:
             return False
-        if volume.plan.reserve_units_per_s and self._reserve(volume) >= r.units:
+        if volume.plan.reserve_units_per_s and self._refill_reserve(volume) >= request.units:
             return False
         ready = [node for node in shard.nodes if node.ready]
-        if not all(self._shows_pace(node) for node in ready):
+        if not all(self._rate_is_known(node) for node in ready):
             return False
         rate = sum(self._rate(node) for node in ready)
-        wait = node_wait_us(
-            shard.backlog, self.now, self.aim, volume.plan.weight, lane.waiting, r.units, rate, RATE_MEMORY_US
+        wait_us = node_wait_us(
+            shard.backlog,
+            self.now,
+            self.tightest_aim,
+            volume.plan.weight,
+            lane.queued_units,
+            request.units,
+            rate,
+            RATE_TIME_CONSTANT_US,
         )
-        return wait > left
+        return wait_us > time_left
 
-    def _shows_pace(self, node: _Node) -> bool:
-        """Whether what a node serves tells what it bears: it answers, and is not held back by slow start."""
-        answers = not node.trial_wait and node.history.answered_at >= self.now - self.aim
+    def _rate_is_known(self, node: _Node) -> bool:
+        """Whether the node's rate shows its capacity: it answers, and slow start does not hold it back."""
+        answers = not node.trial_interval and node.history.last_served_at >= self.now - self.tightest_aim
         return answers and not self.slow_start.is_cold(node.history, self.now)
 
-    def _starts_waiting(self, r: _Request) -> None:
-        lane = r.lane
-        r.waits = True
-        lane.waiting += r.units
-        lane.volume.waiting += r.units
-        if not lane.waiting_weight:
-            lane.waiting_weight = lane.volume.plan.weight
-            lane.shard.backlog.weight += lane.waiting_weight
-
-    def _ends_waiting(self, r: _Request) -> None:
-        if not r.waits:
+    def _count_queued(self, request: _Request) -> None:
+        lane = request.lane
+        request.counted = True
+        lane.queued_units += request.units
+        lane.volume.queued_units += request.units
+        if not lane.backlog_weight:
+            lane.backlog_weight = lane.volume.plan.weight
+            lane.shard.backlog.weight += lane.backlog_weight
+
+    def _uncount_queued(self, request: _Request) -> None:
+        if not request.counted:
             return
-        lane = r.lane
-        r.waits = False
-        lane.volume.waiting = max(0.0, lane.volume.waiting - r.units)
-        lane.waiting = max(0.0, lane.waiting - r.units)
-        if lane.waiting <= EPSILON:
-            lane.shard.backlog.weight = max(0.0, lane.shard.backlog.weight - lane.waiting_weight)
-            lane.waiting = lane.waiting_weight = 0.0
-
-    def _volume(self, e: api.Arrival) -> _Volume:
-        plan, gateways = self.s.plans[e.plan], max(1, e.gateways)
-        volume = self.volumes.pop((e.volume, e.plan), None)
+        lane = request.lane
+        request.counted = False
+        lane.volume.queued_units = max(0.0, lane.volume.queued_units - request.units)
+        lane.queued_units = max(0.0, lane.queued_units - request.units)
+        if lane.queued_units <= EPSILON:
+            lane.shard.backlog.weight = max(0.0, lane.shard.backlog.weight - lane.backlog_weight)
+            lane.queued_units = lane.backlog_weight = 0.0
+
+    def _volume_for(self, arrival: api.Arrival) -> _Volume:
+        plan, gateways = self.s.plans[arrival.plan], max(1, arrival.gateways)
+        volume = self.volumes.pop((arrival.volume, arrival.plan), None)
         if volume is None:
-            self._drop_idle()
-            part = limit_part(plan, e.volume, e.plan, gateways)
+            self._drop_idle_volume()
+            part = limit_part(plan, arrival.volume, arrival.plan, gateways)
             volume = _Volume(plan, part, gateways, self.now, self.s.max_units)
         elif volume.plan is not plan or volume.gateways < gateways:
-            # New settings hold for volumes that are known too; their tokens are kept within the new depth.
+            # New settings also apply to known volumes; their tokens are kept up to the new depth.
             volume.plan, volume.gateways = plan, max(volume.gateways, gateways)
-            volume.part = limit_part(plan, e.volume, e.plan, volume.gateways)
-        self.volumes[e.volume, e.plan] = volume  # the longest unused stands first
+            volume.part = limit_part(plan, arrival.volume, arrival.plan, volume.gateways)
+        self.volumes[arrival.volume, arrival.plan] = volume  # the least recently used one comes first
         return volume
 
-    def _first_aim(self, e: api.Arrival) -> int | None:
-        """The aim of the try that this one follows: the same was asked, to be given up at the same time.
+    def _aim_of_first_try(self, arrival: api.Arrival) -> int | None:
+        """The aim of the unserved request that this one retries; None: it is not a retry.
 
-        Less time than others have is no sign: some clients have little from the first.
+        A retry asks for the same and has the same deadline. A short time until the deadline alone is no sign
+        of a retry: some clients always set one.
         """
-        while self.unserved_order and self.unserved_order[0][0] < self.now:
-            _, what = self.unserved_order.popleft()
-            if not (left := [t for t in self.unserved.get(what, ()) if t[0] >= self.now]):
-                self.unserved.pop(what, None)
+        while self.retry_expiries and self.retry_expiries[0][0] < self.now:
+            _, retry_key = self.retry_expiries.popleft()
+            if not (valid := [t for t in self.expected_retries.get(retry_key, ()) if t[0] >= self.now]):
+                self.expected_retries.pop(retry_key, None)
             else:
-                self.unserved[what] = left
-        tries = self.unserved.get((e.volume, e.key, e.request_class, e.units), [])
-        for i, (due_at, aim_at) in enumerate(tries):
-            if abs(due_at - self.now - e.grace_us) <= SAME_DUE_US:
+                self.expected_retries[retry_key] = valid
+        tries = self.expected_retries.get(
+            (arrival.volume, arrival.key, arrival.request_class, arrival.units), []
+        )
+        for i, (deadline_at, aim_at) in enumerate(tries):
+            if abs(deadline_at - self.now - arrival.grace_us) <= DEADLINE_TOLERANCE_US:
                 del tries[i]
                 return aim_at
         return None
 
-    def _drop_idle(self) -> None:
-        """Drop the longest unused volume if nothing waits and its buckets are as full as a new one's."""
+    def _drop_idle_volume(self) -> None:
+        """Drop the least recently used volume if its queues are empty and its buckets as full as new ones."""
         if (key := next(iter(self.volumes), None)) is not None:
-            v = self.volumes[key]
-            if self._reserve(v) < v.reserve_most or any(self._head(lane) for lane in v.lanes.values()):
+            volume = self.volumes[key]
+            if self._refill_reserve(volume) < volume.reserve_depth or any(
+                self._head(lane) for lane in volume.lanes.values()
+            ):
                 return
-            if v.part is None or self.buckets.forget_full(v.part, self.now):
+            if volume.part is None or self.buckets.forget_full(volume.part, self.now):
                 del self.volumes[key]
 
-    def _enqueue(self, r: _Request) -> None:
-        """Put a request that may go out into its volume's queue and see whether it can leave now."""
-        if r.over or r.queued or r.out:
+    def _enqueue(self, request: _Request) -> None:
+        """Put a request into its lane, and serve the shard after the current event."""
+        if request.finished or request.queued or request.in_flight:
             return
-        r.queued = True
-        if r.late:
-            heappush(r.lane.shard.late, (r.due_at, r.seq, r))
+        request.queued = True
+        if request.late:
+            heappush(request.lane.shard.late, (request.deadline_at, request.seq, request))
         else:
-            heappush(r.lane.heap, (r.turn, r))
-            self._starts_waiting(r)
-            if r.lane.heap[0][1] is r:
-                self._arm(r.lane)
-        self._kick(r.lane.shard)
+            heappush(request.lane.heap, (request.queue_key, request))
+            self._count_queued(request)
+            if request.lane.heap[0][1] is request:
+                self._place_head(request.lane)
+        self._mark_shard(request.lane.shard)
 
     # --- token buckets
 
-    def _short(self, r: _Request) -> float:
-        """Microseconds until the bucket suffices for the request: its deadline less now."""
-        part = r.lane.volume.part
-        if r.paid or part is None:
+    def _token_wait_us(self, request: _Request) -> float:
+        """Microseconds until the volume's bucket has the tokens for the request."""
+        part = request.lane.volume.part
+        if request.tokens_spent or part is None:
             return 0.0
-        return self.buckets.wait_us(part, r.units, self.now)
+        return self.buckets.wait_us(part, request.units, self.now)
 
-    def _limits_changed(self, volume: str, plan: int) -> None:
-        """Look again at the heads that wait for tokens."""
-        changed = [self.volumes.get((volume, plan))] if volume else list(self.volumes.values())
-        for v in changed:
-            if v is None or v.part is None:
+    def _handle_limits_changed(self, volume_name: str, plan: int) -> None:
+        """Re-evaluate the heads that wait for tokens."""
+        changed = [self.volumes.get((volume_name, plan))] if volume_name else list(self.volumes.values())
+        for volume in changed:
+            if volume is None or volume.part is None:
                 continue
-            for lane in v.lanes.values():
-                self._arm(lane)
-                self._kick(lane.shard)
-
-    def written(self, request: str, now_us: int) -> None:
-        """Told at once, between batches: the request's last byte has left for a node."""
-        r = self.requests.get(request)
-        if r is not None and r.aside and r.lane.volume.part is not None:
-            r.aside = False
-            self.buckets.written(r.lane.volume.part, r.units, now_us)
-
-    def _release(self, r: _Request) -> None:
-        """What was set aside for a request that no node got is free again."""
-        r.aside = r.paid = False
-        if r.lane.volume.part is not None:
-            self.buckets.release(r.lane.volume.part, r.units, r.spent_at, self.now)
-
-    def _reserve(self, v: _Volume) -> float:
-        """The second bucket, of the reserve: a second's worth of it and one largest request deep."""
-        gained = (self.now - v.reserve_at) * v.plan.reserve_units_per_s / 1e6
-        v.reserve = min(v.reserve_most, v.reserve + gained)
-        v.reserve_at = self.now
-        return v.reserve
-
-    # --- heads and heaps
+            for lane in volume.lanes.values():
+                self._place_head(lane)
+                self._mark_shard(lane.shard)
+
+    def written(self, request_id: str, now_us: int) -> None:
+        """The request has been written to a node completely. Called at once, also between batches."""
+        request = self.requests.get(request_id)
+        if request is not None and request.spend_pending and request.lane.volume.part is not None:
+            request.spend_pending = False
+            self.buckets.written(request.lane.volume.part, request.units, now_us)
+
+    def _return_tokens(self, request: _Request) -> None:
+        """Return the tokens spent on a request that no node has received."""
+        request.spend_pending = request.tokens_spent = False
+        if request.lane.volume.part is not None:
+            self.buckets.release(request.lane.volume.part, request.units, request.spent_at, self.now)
+
+    def _refill_reserve(self, volume: _Volume) -> float:
+        """Tokens in the bucket of the reserve, which holds one second of it plus one request of maximum size."""
+        refill = (self.now - volume.reserve_at) * volume.plan.reserve_units_per_s / 1e6
+        volume.reserve = min(volume.reserve_depth, volume.reserve + refill)
+        volume.reserve_at = self.now
+        return volume.reserve
+
+    # --- heads of lanes
 
     def _head(self, lane: _Lane) -> _Request | None:
         while lane.heap:
-            r = lane.heap[0][1]
-            if not r.over and r.queued and not r.late:
-                return r
+            request = lane.heap[0][1]
+            if not request.finished and request.queued and not request.late:
+                return request
             heappop(lane.heap)
         return None
 
-    def _arm(self, lane: _Lane) -> None:
-        """Place the lane's head: by its deadline while tokens are short, else among the ready heads."""
+    def _place_head(self, lane: _Lane) -> None:
+        """Schedule the lane's head for when its tokens suffice, or put the lane among the ready ones.
+
+        Entries of the lane with an older version are void.
+        """
         lane.version += 1
-        r = self._head(lane)
-        if r is None:
+        request = self._head(lane)
+        if request is None:
             return
-        wait = self._short(r)
-        if wait > 0:
-            r.lacked_limit = True
+        wait_us = self._token_wait_us(request)
+        if wait_us > 0:
+            request.waited_for_tokens = True
             if self.held is not None:
-                self.held.append((r.id, wait))
+                self.held.append((request.id, wait_us))
             version = lane.version
-            if wait < math.inf:
-                self._at(self.now + wait, lambda: self._ripe(lane, version))
+            if wait_us < math.inf:
+                self._schedule(self.now + wait_us, lambda: self._tokens_due(lane, version))
             return
-        shard, v = lane.shard, lane.volume
+        shard, volume = lane.shard, lane.volume
         lane.tag = max(lane.tag, shard.tag)
         self.seq += 1
-        heappush(shard.tagged, (lane.tag, self.seq, lane.version, lane))
-        if v.plan.reserve_units_per_s > 0:
-            heappush(shard.reserved, (self._reserve_due(r), self.seq, lane.version, lane))
+        heappush(shard.by_tag, (lane.tag, self.seq, lane.version, lane))
+        if volume.plan.reserve_units_per_s > 0:
+            heappush(shard.by_reserve, (self._reserve_due_at(request), self.seq, lane.version, lane))
 
-    def _reserve_due(self, r: _Request) -> float:
-        missing = max(0.0, r.units - self._reserve(r.lane.volume))
-        return self.now + missing * 1e6 / r.lane.volume.plan.reserve_units_per_s
+    def _reserve_due_at(self, request: _Request) -> float:
+        missing = max(0.0, request.units - self._refill_reserve(request.lane.volume))
+        return self.now + missing * 1e6 / request.lane.volume.plan.reserve_units_per_s
 
-    def _ripe(self, lane: _Lane, version: int) -> None:
+    def _tokens_due(self, lane: _Lane, version: int) -> None:
         if lane.version == version:
-            self._arm(lane)
-            self._kick(lane.shard)
+            self._place_head(lane)
+            self._mark_shard(lane.shard)
+
+    def _next_lane(self, shard: _Shard) -> tuple[int, float, int, _Lane] | None:
+        """The lane whose head goes next, as (0, reserve due time, version, lane) or (1, tag, version, lane).
 
-    def _best(self, shard: _Shard) -> tuple[int, float, int, _Lane] | None:
-        """The next ready head: inside a reserve by its deadline, else the least weight tag."""
-        while shard.reserved:
-            due, seq, version, lane = shard.reserved[0]
+        Heads within their volume's reserve come first, then the one with the lowest weight tag.
+        """
+        while shard.by_reserve:
+            due_at, seq, version, lane = shard.by_reserve[0]
             if lane.version != version:
-                heappop(shard.reserved)
+                heappop(shard.by_reserve)
                 continue
-            if due > self.now:
+            if due_at > self.now:
                 break
-            r = self._head(lane)
-            if r is None or self._passed(lane, r):
-                self._arm(lane)
+            request = self._head(lane)
+            if request is None or self._skip_head(lane, request):
+                self._place_head(lane)
                 continue
-            if (real := self._reserve_due(r)) <= self.now + 1:
-                return 0, due, version, lane
-            heapreplace(shard.reserved, (real, seq, version, lane))
-        while shard.tagged:
-            tag, seq, version, lane = shard.tagged[0]
+            if (current := self._reserve_due_at(request)) <= self.now + 1:
+                return 0, due_at, version, lane
+            heapreplace(shard.by_reserve, (current, seq, version, lane))
+        while shard.by_tag:
+            tag, seq, version, lane = shard.by_tag[0]
             if lane.version != version:
-                heappop(shard.tagged)
+                heappop(shard.by_tag)
                 continue
-            r = self._head(lane)
-            if r is not None and not self._passed(lane, r):
+            request = self._head(lane)
+            if request is not None and not self._skip_head(lane, request):
                 return 1, tag, version, lane
-            self._arm(lane)
+            self._place_head(lane)
         return None
 
-    def _passed(self, lane: _Lane, r: _Request) -> bool:
-        """Take a head out of turn that cannot keep its aim, or whose tokens went to another lane."""
+    def _skip_head(self, lane: _Lane, request: _Request) -> bool:
+        """Whether the head must not be sent now: it cannot meet its aim, or another lane took its tokens."""
         nodes = lane.shard.nodes
-        expect = (self._rtt(nodes[-1]) if nodes else self.all.rtt) * self._size(r)
-        expect = min(r.cls.aim_us * EXPECT_MOST, expect)
-        if self.now + expect > r.aim_at:
-            # Danger: under overload a FIFO serves only what is late already. What cannot keep its aim waits
-            # for spare room; an ordered one that others wait behind is refused to free its key.
+        expected_us = (self._rtt(nodes[-1]) if nodes else self.all_nodes.rtt) * self._size_factor(request)
+        expected_us = min(request.class_settings.aim_us * MAX_EXPECTED_AIM_FRACTION, expected_us)
+        if self.now + expected_us > request.aim_at:
+            # Under overload a FIFO would serve only requests that are late already. A request that cannot meet
+            # its aim waits for spare capacity. An ordered one with others behind it is refused to free its key.
             heappop(lane.heap)
-            self._ends_waiting(r)
-            r.late = True
-            chain = self.chains.get(r.key) if r.cls.ordered else None
-            if chain is not None and len(chain) > 1 and self._refusable(r):
-                self._end(r)
+            self._uncount_queued(request)
+            request.late = True
+            key_queue = self.key_queues.get(request.key) if request.class_settings.ordered else None
+            if key_queue is not None and len(key_queue) > 1 and self._may_refuse(request):
+                self._refuse_or_fail(request)
             else:
-                heappush(lane.shard.late, (r.due_at, r.seq, r))
+                heappush(lane.shard.late, (request.deadline_at, request.seq, request))
             return True
-        return self._short(r) > 0
-
-    # --- nodes and room
-
-    def _cap(self, node: _Node) -> float:
-        """Units that may be out at a node: its units a second here, times a part of the tightest aim."""
-        rate = self._rate(node) if node.rtt_at else self._rate(self.all) / max(1, len(self.listed))
-        # Danger: many gateways at the least number each, or work heavier than its units, fill a node's queue
-        # past every aim. Whatever the cause, answers slower than that part of the aim shrink the least.
-        mean, part = self.s.mean_units, self.aim * AIM_PART
-        least = LEAST_OUT * mean * min(1.0, part / max(1.0, self._rtt(node))) ** 2
-        return min(MOST_OUT * mean, max(least, rate * part / 1e6))
+        return self._token_wait_us(request) > 0
+
+    # --- nodes and their capacity
+
+    def _max_in_flight_units(self, node: _Node) -> float:
+        """Units that may be in flight at a node: its rate here times a fraction of the tightest aim."""
+        rate = self._rate(node) if node.rtt_at else self._rate(self.all_nodes) / max(1, len(self.listed))
+        # Many gateways with the minimum number of requests each, or requests costlier than their units, can
+        # fill a node's queue past every aim. Whatever the cause, answers slower than that fraction of the aim
+        # reduce the minimum.
+        mean_units, service_us = self.s.mean_units, self.tightest_aim * IN_FLIGHT_AIM_FRACTION
+        min_units = (
+            MIN_IN_FLIGHT_REQUESTS * mean_units * min(1.0, service_us / max(1.0, self._rtt(node))) ** 2
+        )
+        return min(MAX_IN_FLIGHT_REQUESTS * mean_units, max(min_units, rate * service_us / 1e6))
 
     def _rate(self, node: _Node) -> float:
-        return node.rate * math.exp((node.rate_at - self.now) / RATE_MEMORY_US)
+        """Units per second that the node has served for this gateway recently."""
+        return node.rate * math.exp((node.rate_at - self.now) / RATE_TIME_CONSTANT_US)
 
     def _room(self, node: _Node, units: float, reserved: bool) -> float:
-        """Units of room for a request of this size; 0 or less: full, silent, resting or too cold."""
-        if node.alone_until > self.now:
+        """Units that may still be sent to the node; 0 or less: full, silent, paused or too cold."""
+        if node.paused_until > self.now:
             return 0.0
-        quiet = self.now - node.alive_at > self.aim * PATIENCE_AIMS
-        if quiet and not node.trial_wait and (node.history.out or node.missed > 1):
-            # Danger: a node that died or hangs swallows everything sent to it. One trial at a time, ever
-            # rarer, until it answers; whatever the cause of its silence.
-            self._silence(node)
+        silent = self.now - node.heard_at > self.tightest_aim * SILENCE_TIMEOUT_AIMS
+        if silent and not node.trial_interval and (node.history.in_flight or node.timeouts > 1):
+            # Every request sent to a node that has died or hangs is lost. Send it one trial at a time, at
+            # growing intervals, until it answers, whatever the cause.
+            self._mark_silent(node)
             return 0.0
-        if self._starts_slowly(node, units):
+        if self._is_held_by_slow_start(node, units):
             return 0.0
-        if node.trial_wait:
+        if node.trial_interval:
             return EPSILON
-        cap, mean = self._cap(node), self.s.mean_units
-        if cap < mean and not reserved:
-            # Danger: one request out at each of many gateways is a long queue already. Room under one request
-            # becomes a pace, for all but the reserve: as much time between sends as keeps that much out.
-            pace_at = node.history.sent_at + int(self._rtt(node) * mean / cap)
-            if pace_at > self.now:
-                self._wake(node, pace_at)
+        max_units, mean_units = self._max_in_flight_units(node), self.s.mean_units
+        if max_units < mean_units and not reserved:
+            # With many gateways, one request in flight for each is a long queue already. A cap below one request
+            # becomes a rate: the time between sends keeps that much in flight on average. The reserve is exempt.
+            next_send_at = node.history.last_sent_at + int(self._rtt(node) * mean_units / max_units)
+            if next_send_at > self.now:
+                self._schedule_recheck(node, next_send_at)
                 return 0.0
-        return cap - node.out_units
+        return max_units - node.in_flight_units
 
-    def _silence(self, node: _Node) -> None:
-        node.trial_wait = max(self.aim, node.trial_wait * TRIAL_GROWTH)
-        node.trial_wait = min(node.trial_wait, self.aim * TRIAL_MOST_AIMS)
-        self._rest(node, node.trial_wait * (0.75 + self.random.random() / 2))
+    def _mark_silent(self, node: _Node) -> None:
+        """Pause the node until its next trial, with jitter."""
+        node.trial_interval = max(self.tightest_aim, node.trial_interval * TRIAL_BACKOFF_FACTOR)
+        node.trial_interval = min(node.trial_interval, self.tightest_aim * MAX_TRIAL_INTERVAL_AIMS)
+        self._pause_node(node, node.trial_interval * (0.75 + self.random.random() / 2))
 
-    def _rest(self, node: _Node, wait: float) -> None:
-        node.alone_until = max(node.alone_until, self.now + int(wait))
-        self._wake(node, node.alone_until)
+    def _pause_node(self, node: _Node, duration_us: float) -> None:
+        node.paused_until = max(node.paused_until, self.now + int(duration_us))
+        self._schedule_recheck(node, node.paused_until)
 
-    def _wake(self, node: _Node, when: int) -> None:
-        """Look at the node again then. One alarm at most: alarms that set alarms must not multiply."""
-        if self.now < node.wake_at <= when:
+    def _schedule_recheck(self, node: _Node, when: int) -> None:
+        """Check again at `when` whether the node has room. One check is pending at most: they must not multiply."""
+        if self.now < node.recheck_at <= when:
             return
-        node.wake_at = max(when, self.now + 1)
-        self._at(node.wake_at, lambda: self._room_at(node))
+        node.recheck_at = max(when, self.now + 1)
+        self._schedule(node.recheck_at, lambda: self._mark_shards_of(node))
 
-    def _starts_slowly(self, node: _Node, units: float) -> bool:
-        """Danger: all gateways together can push a cold node over. Whether this request has to wait there."""
+    def _is_held_by_slow_start(self, node: _Node, units: float) -> bool:
+        """Whether a request has to wait, as all gateways together could overload a cold node."""
         if not self.slow_start.is_cold(node.history, self.now):
             return False
-        # Each process of this gateway counts as a gateway of its own: together they keep to its part.
+        # Each process counts as a gateway of its own, so that all of this gateway's keep to its share.
         shares = Shares(
             gateways=self.s.gateways * self.sharers,
             position=self.s.position * self.sharers + self.rank,
-            contenders=self._contenders() * self.sharers,
+            contenders=self._contending_gateways() * self.sharers,
         )
         admits_at = self.slow_start.admits_at(node.history, units, self.now, shares)
         if admits_at <= self.now:
             return False
         if admits_at < math.inf:
-            self._wake(node, int(admits_at))
+            self._schedule_recheck(node, int(admits_at))
         return True
 
-    def _contenders(self) -> float:
-        if self.now >= self.contenders_at:
+    def _contending_gateways(self) -> float:
+        """Estimated number of gateways with work for the same node, recalculated at intervals."""
+        if self.now >= self.contenders_until:
             since = max(0, self.now - CONTENDERS_MEMORY_US)
-            asked = sum(shard.asked_at > since for shard in self.shards.values())
-            running = self.now - self.started_at
-            self.contenders = contending_gateways(self.s.gateways, asked, len(self.shards) - 1, running)
-            self.contenders_at = self.now + int(self.aim * FULL_REST_AIMS)
+            requested = sum(shard.requested_at > since for shard in self.shards.values())
+            running_us = self.now - self.started_at
+            self.contenders = contending_gateways(
+                self.s.gateways, requested, len(self.shards) - 1, running_us
+            )
+            self.contenders_until = self.now + int(self.tightest_aim * RETRY_DELAY_AIMS)
         return self.contenders
 
-    def _node_for(self, shard: _Shard, r: _Request, reserved: bool = False) -> _Node | None:
-        """The ready node of the shard with most room; for a new object the best of a few."""
-        best, most, among = None, 0.0, shard.nodes
+    def _pick_node(self, shard: _Shard, request: _Request, reserved: bool = False) -> _Node | None:
+        """The ready node of the shard with the most room; for a new object the best of a random sample."""
+        best, max_room, candidates = None, 0.0, shard.nodes
         if shard.number < 0:
-            # Danger: on equal news all gateways pick the same node, and looking at all costs with the fleet.
-            among = self.random.sample(self.listed, min(CHOICES, len(self.listed)))
-        for node in among:
-            if not node.ready or (r.bound is not None and not self._same_group(r.bound, node, r.cls)):
+            # With equal data all gateways would pick the same node, and the cost of looking at every node
+            # grows with the fleet.
+            candidates = self.random.sample(self.listed, min(SAMPLED_NODES, len(self.listed)))
+        for node in candidates:
+            if not node.ready or (
+                request.bound_node is not None
+                and not self._same_group(request.bound_node, node, request.class_settings)
+            ):
                 continue
-            if (room := self._room(node, r.units, reserved)) > most:
-                best, most = node, room
+            if (room := self._room(node, request.units, reserved)) > max_room:
+                best, max_room = node, room
         return best
 
-    def _same_group(self, bound: _Node, node: _Node, cls: api.RequestClass) -> bool:
-        if cls.effect is not Effect.KEYED or cls.group == "all":
+    def _same_group(self, bound_node: _Node, node: _Node, class_settings: api.RequestClass) -> bool:
+        """Whether a request that may have run at `bound_node` may be repeated at `node`."""
+        if class_settings.effect is not Effect.KEYED or class_settings.group == "all":
             return True
-        return bound.zone == node.zone if cls.group == "zone" else bound.shard == node.shard
+        return (
+            bound_node.zone == node.zone if class_settings.group == "zone" else bound_node.shard == node.shard
+        )
 
-    def _room_at(self, node: _Node) -> None:
+    def _mark_shards_of(self, node: _Node) -> None:
         if node.shard >= 0:
-            self._kick(self.shards[node.shard])
-        self._kick(self.others)
+            self._mark_shard(self.shards[node.shard])
+        self._mark_shard(self.new_objects)
 
     def _serve(self, shard: _Shard) -> None:
-        """Send heads of this shard while its node has room; a head whose node is full stays in its heap."""
-        while (found := self._best(shard)) is not None:
-            if shard.number >= 0 and self.others.tagged:
-                other = self._best(self.others)
-                if other is not None and other[:2] < found[:2] and self._send_best(self.others, other):
+        """Send ready heads of the shard while its nodes have room, then late requests if a node is idle."""
+        while (found := self._next_lane(shard)) is not None:
+            if shard.number >= 0 and self.new_objects.by_tag:
+                other = self._next_lane(self.new_objects)
+                if other is not None and other[:2] < found[:2] and self._send_head(self.new_objects, other):
                     continue
-            if not self._send_best(shard, found):
-                shard.backlog.stands(self.now)
+            if not self._send_head(shard, found):
+                shard.backlog.mark_standing(self.now)
                 return
-        shard.backlog.cleared()
+        shard.backlog.mark_cleared()
         while shard.late:
-            r = shard.late[0][2]
-            if r.over or not r.queued or self.now + self.margin >= r.due_at:
+            request = shard.late[0][2]
+            if request.finished or not request.queued or self.now + self.margin_us >= request.deadline_at:
                 heappop(shard.late)
                 continue
-            if self._short(r) > 0:
+            if self._token_wait_us(request) > 0:
                 return
-            if (node := self._spare(shard, r)) is None:
+            if (node := self._idle_node(shard, request)) is None:
                 return
-            if r.attempts and not self._may_resend(r):
+            if request.attempts and not self._may_resend(request):
                 return
             heappop(shard.late)
-            self._send(r, node)
-
-    def _spare(self, shard: _Shard, r: _Request) -> _Node | None:
-        """An idle and quick node, which a late request may have."""
-        node = self._node_for(shard, r)
-        return node if node and not node.history.out and self._rtt(node) <= self.aim * AIM_PART else None
+            self._send(request, node)
+
+    def _idle_node(self, shard: _Shard, request: _Request) -> _Node | None:
+        """A node without requests in flight and with short answer times, which may take a late request."""
+        node = self._pick_node(shard, request)
+        return (
+            node
+            if node
+            and not node.history.in_flight
+            and self._rtt(node) <= self.tightest_aim * IN_FLIGHT_AIM_FRACTION
+            else None
+        )
 
-    def _send_best(self, shard: _Shard, found: tuple[int, float, int, _Lane]) -> bool:
+    def _send_head(self, shard: _Shard, found: tuple[int, float, int, _Lane]) -> bool:
+        """Send the head of the lane that `_next_lane` returned; False: no node has room for it."""
         lane = found[3]
         if lane.version != found[2]:
-            return True  # the look at the other heap has changed this lane
-        r = lane.heap[0][1]
-        if r.attempts and not self._may_resend(r):
+            return True  # checking the lanes of new objects has changed this lane
+        request = lane.heap[0][1]
+        if request.attempts and not self._may_resend(request):
             heappop(lane.heap)
-            self._ends_waiting(r)
-            r.queued = False
-            self._arm(lane)
+            self._uncount_queued(request)
+            request.queued = False
+            self._place_head(lane)
             return True
-        node = self._node_for(shard, r, found[0] == 0)
+        node = self._pick_node(shard, request, found[0] == 0)
         if node is None:
             return False
         heappop(lane.heap)
         shard.tag = max(shard.tag, lane.tag)
-        lane.tag += r.units / lane.volume.plan.weight
-        self._send(r, node)
-        self._arm(lane)
+        lane.tag += request.units / lane.volume.plan.weight
+        self._send(request, node)
+        self._place_head(lane)
         return True
 
-    def _may_resend(self, r: _Request) -> bool:
-        """Another attempt within the stated budget and the repeats' memory; else retried later or ended."""
-        s = self.s
-        if r.ran_at >= 0 and r.cls.effect is Effect.KEYED and self.now >= r.ran_at + r.cls.key_ttl_us:
-            self._end(r)
+    def _may_resend(self, request: _Request) -> bool:
+        """Whether the resend budget and the key's lifetime allow another attempt now.
+
+        If not, the request is queued again later, or ended when the key's lifetime is over.
+        """
+        settings = self.s
+        if (
+            request.maybe_ran_at >= 0
+            and request.class_settings.effect is Effect.KEYED
+            and self.now >= request.maybe_ran_at + request.class_settings.key_ttl_us
+        ):
+            self._refuse_or_fail(request)
             return False
-        if s.resend_ratio is None:
+        if settings.resend_ratio is None:
             return True
-        for window in (self.taken, self.resent):
-            while window and window[0] <= self.now - s.resend_span_us:
+        for window in (self.arrival_times, self.resend_times):
+            while window and window[0] <= self.now - settings.resend_span_us:
                 window.popleft()
-        if len(self.resent) + 1 <= (s.resend_free or 0) + s.resend_ratio * len(self.taken):
+        if len(self.resend_times) + 1 <= (settings.resend_free or 0) + settings.resend_ratio * len(
+            self.arrival_times
+        ):
             return True
-        self._at(self.now + self.aim * FULL_REST_AIMS, lambda: self._enqueue(r))
+        self._schedule(self.now + self.tightest_aim * RETRY_DELAY_AIMS, lambda: self._enqueue(request))
         return False
 
-    def _send(self, r: _Request, node: _Node) -> None:
-        v, spends = r.lane.volume, False
-        if not r.paid:
-            r.paid = True
-            if v.part is not None:
-                self.buckets.spend(v.part, r.units, self.now)
-                spends = r.aside = self.buckets.tracks
-                r.spent_at = self.now
-            self._reserve(v)
-            v.reserve = max(-v.plan.reserve_units_per_s, v.reserve - r.units)
-        if r.attempts and self.s.resend_ratio is not None:
-            self.resent.append(self.now)
-        self._ends_waiting(r)
-        r.queued = False
-        r.attempts.append((node, self.now))
-        r.out += 1
-        if not node.history.out and node.missed < 2:
-            node.alive_at = self.now
-        node.out_units += r.units
-        node.history.record_send(r.units, self.now)
-        if node.trial_wait:
-            self._silence(node)
-        # Danger: work past its aim earns next to nothing, yet fills a node's queue before what is in time.
-        wait = max(0, r.aim_at - self.now)
-        if self.loss >= LOSS_SHOWN and r.cls.effect is not Effect.UNSAFE:
-            # Danger: a lost answer costs the request. What is overdue is repeated while its aim can be kept.
-            expect = self._rtt(node) * self._size(r)
-            if expect and expect * (LOST_AFTER + 1) <= wait and len(r.attempts) < self.s.max_attempts:
-                wait = int(expect * LOST_AFTER)
-        self.actions.append(api.Send(r.id, node.id, wait, spends))
+    def _send(self, request: _Request, node: _Node) -> None:
+        volume, spends = request.lane.volume, False
+        if not request.tokens_spent:
+            request.tokens_spent = True
+            if volume.part is not None:
+                self.buckets.spend(volume.part, request.units, self.now)
+                spends = request.spend_pending = self.buckets.tracks
+                request.spent_at = self.now
+            self._refill_reserve(volume)
+            volume.reserve = max(-volume.plan.reserve_units_per_s, volume.reserve - request.units)
+        if request.attempts and self.s.resend_ratio is not None:
+            self.resend_times.append(self.now)
+        self._uncount_queued(request)
+        request.queued = False
+        request.attempts.append((node, self.now))
+        request.in_flight += 1
+        if not node.history.in_flight and node.timeouts < 2:
+            node.heard_at = self.now
+        node.in_flight_units += request.units
+        node.history.record_send(request.units, self.now)
+        if node.trial_interval:
+            self._mark_silent(node)
+        # An attempt ends at its aim: a later answer is worth little, yet the work would delay requests that
+        # can still be in time.
+        timeout_us = max(0, request.aim_at - self.now)
+        if self.loss >= LOSS_THRESHOLD and request.class_settings.effect is not Effect.UNSAFE:
+            # A lost answer would cost the whole request: repeat an overdue attempt while the aim can be met.
+            expected_us = self._rtt(node) * self._size_factor(request)
+            if (
+                expected_us
+                and expected_us * (LOSS_TIMEOUT_RTTS + 1) <= timeout_us
+                and len(request.attempts) < self.s.max_attempts
+            ):
+                timeout_us = int(expected_us * LOSS_TIMEOUT_RTTS)
+        self.actions.append(api.Send(request.id, node.id, timeout_us, spends))
 
     # --- answers
 
-    def _size(self, r: _Request) -> float:
-        """Danger: large requests' answer times make small ones look hopeless, and a node look slow."""
-        return 1 - SIZE_PART + SIZE_PART * r.units / self.s.mean_units
+    def _size_factor(self, request: _Request) -> float:
+        """Expected answer time of the request relative to one of mean size.
+
+        Without it, large requests would make the node look slow and small requests unable to meet their aim.
+        """
+        return 1 - SIZE_RTT_FRACTION + SIZE_RTT_FRACTION * request.units / self.s.mean_units
 
-    def _heard(self, node: _Node, rtt_us: float) -> None:
-        node.alive_at, node.trial_wait, node.missed, node.broken = self.now, 0.0, 0, 0
+    def _record_response(self, node: _Node, rtt_us: float) -> None:
+        node.heard_at, node.trial_interval, node.timeouts, node.broken = self.now, 0.0, 0, 0
         if rtt_us:
-            self._learn(node, rtt_us)
+            self._update_rtt(node, rtt_us)
 
-    def _learn(self, node: _Node, rtt_us: float) -> None:
-        """Danger: one of many gateways hears a node seldom; what it heard long ago must not bind it now."""
-        node.rtt = (mean := self._rtt(node)) + (rtt_us - mean) * max(RTT_GAIN, 1 - self._fresh(node))
+    def _update_rtt(self, node: _Node, rtt_us: float) -> None:
+        """Add an answer time to the means.
+
+        One of many gateways hears from a node seldom, so the weight of old answers decays with time.
+        """
+        node.rtt = (mean := self._rtt(node)) + (rtt_us - mean) * max(RTT_GAIN, 1 - self._rtt_weight(node))
         node.rtt_at = self.now
-        self.all.rtt += (rtt_us - self.all.rtt) * (RTT_GAIN if self.all.rtt else 1.0)
+        self.all_nodes.rtt += (rtt_us - self.all_nodes.rtt) * (RTT_GAIN if self.all_nodes.rtt else 1.0)
 
-    def _fresh(self, node: _Node) -> float:
-        return math.exp((node.rtt_at - self.now) / RTT_MEMORY_US) if node.rtt_at else 0.0
+    def _rtt_weight(self, node: _Node) -> float:
+        """Weight of the node's own mean answer time against that of all nodes: 1 if new, decaying to 0."""
+        return math.exp((node.rtt_at - self.now) / RTT_TIME_CONSTANT_US) if node.rtt_at else 0.0
 
     def _rtt(self, node: _Node) -> float:
-        """The node's mean answer time as far as it is fresh, else that of all nodes."""
-        return self.all.rtt + (node.rtt - self.all.rtt) * self._fresh(node)
-
-    def _answer(self, e: api.Answer) -> None:
-        r = self.requests.get(e.request)
-        if r is None or not 0 <= e.attempt < len(r.attempts) or (attempt := r.attempts[e.attempt]) is None:
+        """The node's mean answer time, mixed with that of all nodes as it grows old."""
+        return self.all_nodes.rtt + (node.rtt - self.all_nodes.rtt) * self._rtt_weight(node)
+
+    def _handle_answer(self, answer: api.Answer) -> None:
+        request = self.requests.get(answer.request)
+        if (
+            request is None
+            or not 0 <= answer.attempt < len(request.attempts)
+            or (attempt := request.attempts[answer.attempt]) is None
+        ):
             return
         node, sent_at = attempt
-        r.attempts[e.attempt] = None
-        r.out -= 1
-        node.history.out -= 1
-        node.out_units = max(0.0, node.out_units - r.units) if node.history.out else 0.0
-        outcome, missed = e.outcome, node.missed
+        request.attempts[answer.attempt] = None
+        request.in_flight -= 1
+        node.history.in_flight -= 1
+        node.in_flight_units = (
+            max(0.0, node.in_flight_units - request.units) if node.history.in_flight else 0.0
+        )
+        outcome, timeouts = answer.outcome, node.timeouts
         if outcome in (Outcome.DONE, Outcome.ERROR, Outcome.FULL):
-            if node.trial_wait:
-                node.alone_until = self.now
-            self._heard(node, e.rtt_us / self._size(r) if outcome is Outcome.DONE else 0)
+            if node.trial_interval:
+                node.paused_until = self.now
+            self._record_response(
+                node, answer.rtt_us / self._size_factor(request) if outcome is Outcome.DONE else 0
+            )
         if outcome is Outcome.DONE:
-            # A time-out followed by a quick answer was a lost answer, not a slow or a silent node.
-            near = missed > 0 and self.now - node.missed_at < self.aim * LOST_WITHIN
-            self.loss += ((near and e.rtt_us < self.aim * LOST_QUICK) - self.loss) * LOSS_GAIN
-            node.history.answered_at = self.now
-            for one in (node, self.all):
-                one.rate = self._rate(one) + r.units * 1e6 / RATE_MEMORY_US
-                one.rate_at = self.now
-            v = r.lane.volume
-            if e.elsewhere_units and v.plan.reserve_units_per_s:
-                # What other gateways had served here has used the volume's reserve too.
-                v.reserve = max(-v.plan.reserve_units_per_s, self._reserve(v) - e.elsewhere_units)
+            # A time-out followed by a quick answer was a lost answer, not a slow or silent node.
+            after_timeout = (
+                timeouts > 0 and self.now - node.last_timeout_at < self.tightest_aim * LOSS_WINDOW_AIMS
+            )
+            self.loss += (
+                (after_timeout and answer.rtt_us < self.tightest_aim * LOSS_MAX_RTT_AIMS) - self.loss
+            ) * LOSS_GAIN
+            node.history.last_served_at = self.now
+            for measured in (node, self.all_nodes):
+                measured.rate = self._rate(measured) + request.units * 1e6 / RATE_TIME_CONSTANT_US
+                measured.rate_at = self.now
+            volume = request.lane.volume
+            if answer.elsewhere_units and volume.plan.reserve_units_per_s:
+                # Units that the node served for other gateways have used the volume's reserve too.
+                volume.reserve = max(
+                    -volume.plan.reserve_units_per_s, self._refill_reserve(volume) - answer.elsewhere_units
+                )
         elif outcome is Outcome.FULL:
-            self._rest(node, self.aim * FULL_REST_AIMS * (0.5 + self.random.random()))
+            self._pause_node(node, self.tightest_aim * RETRY_DELAY_AIMS * (0.5 + self.random.random()))
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
-            # A broken connection is no dead node, the next attempt tells; two that were refused are.
+            # One broken connection does not mean that the node is down, the next attempt shows it; but two
+            # refused ones do.
             node.broken += 2 if outcome is Outcome.CONNECT_FAILED else 1
-            if node.broken >= BROKEN_MOST:
-                self._silence(node)
-        elif outcome is Outcome.MOOT and not e.closed:
-            self._rest(node, self.aim * FULL_REST_AIMS * (0.5 + self.random.random()))
+            if node.broken >= MAX_BROKEN_CONNECTIONS:
+                self._mark_silent(node)
+        elif outcome is Outcome.MOOT and not answer.closed:
+            self._pause_node(node, self.tightest_aim * RETRY_DELAY_AIMS * (0.5 + self.random.random()))
         elif outcome is Outcome.TIMEOUT:
-            node.missed, node.missed_at = node.missed + 1, self.now
-            if self.loss < LOSS_SHOWN or node.missed > 1:
-                self._learn(node, max(self._rtt(node), (self.now - sent_at) / self._size(r)))
-        r.reached = r.reached or outcome not in (Outcome.CONNECT_FAILED, Outcome.MOOT)
-        if r.reached and r.aside:
-            self.written(r.id, self.now)
-        elif outcome is Outcome.MOOT and r.aside and not r.out:
-            self._release(
-                r
-            )  # it was set aside too long ago, or for a node that had moved: it has to pay anew
-        if outcome not in NEVER_RAN and r.ran_at < 0:
-            r.ran_at, r.bound = sent_at, node
-        if outcome in STILL_RUNNING and r.key and r.cls.ordered:
-            self.rests[r.key] = self.now + self.s.key_rest_us
-        if e.closed or r.over:
-            self._finish(r)
-        elif not r.out:
-            done = r.ran_at >= 0 and r.cls.effect is Effect.UNSAFE
-            if r.began or done or len(r.attempts) >= self.s.max_attempts:
-                self._end(r)
+            node.timeouts, node.last_timeout_at = node.timeouts + 1, self.now
+            if self.loss < LOSS_THRESHOLD or node.timeouts > 1:
+                self._update_rtt(
+                    node, max(self._rtt(node), (self.now - sent_at) / self._size_factor(request))
+                )
+        request.reached_node = request.reached_node or outcome not in (Outcome.CONNECT_FAILED, Outcome.MOOT)
+        if request.reached_node and request.spend_pending:
+            self.written(request.id, self.now)
+        elif outcome is Outcome.MOOT and request.spend_pending and not request.in_flight:
+            # The tokens were spent too long ago, or for a node that has moved: they have to be spent again.
+            self._return_tokens(request)
+        if outcome not in NOT_EXECUTED and request.maybe_ran_at < 0:
+            request.maybe_ran_at, request.bound_node = sent_at, node
+        if outcome in MAYBE_RUNNING and request.key and request.class_settings.ordered:
+            self.key_rests[request.key] = self.now + self.s.key_rest_us
+        if answer.closed or request.finished:
+            self._finish(request)
+        elif not request.in_flight:
+            must_not_repeat = request.maybe_ran_at >= 0 and request.class_settings.effect is Effect.UNSAFE
+            if request.streaming or must_not_repeat or len(request.attempts) >= self.s.max_attempts:
+                self._refuse_or_fail(request)
             else:
-                self._enqueue(r)
-                self._unsent(r)
-        self._room_at(node)
+                self._enqueue(request)
+                self._expire_unsent(request)
+        self._mark_shards_of(node)
 
     # --- final answers
 
-    def _refusable(self, r: _Request) -> bool:
-        """A refusal promises that a repeat does no harm."""
-        if r.cls.effect is Effect.SAFE or (r.ran_at < 0 and not r.out):
+    def _may_refuse(self, request: _Request) -> bool:
+        """Whether a retry by the client does no harm, which a refusal promises."""
+        if request.class_settings.effect is Effect.SAFE or (
+            request.maybe_ran_at < 0 and not request.in_flight
+        ):
             return True
-        return r.cls.effect is Effect.KEYED and r.cls.group == "all"
-
-    def _pause(self, r: _Request) -> int:
-        """When to come back: what stands in the queue now takes about as long as this one has waited."""
-        return min(self.s.retry_after_most_us, max(int(self.aim), self.now - r.since))
-
-    def _end(self, r: _Request) -> None:
-        if not r.over:
-            refuse = api.Refuse(r.id, self._pause(r), r.lacked_limit and not r.attempts)
-            self.actions.append(refuse if self._refusable(r) else api.Fail(r.id))
-            if r.what[1]:
-                self.unserved.setdefault(r.what, []).append((r.due_at, r.aim_at))
-                self.unserved_order.append((min(r.due_at, self.now + r.cls.deadline_us), r.what))
-            self._finish(r)
-
-    def _expire(self, r: _Request) -> None:
-        """Danger: a request held at a dead node or behind its key must still be answered in time."""
-        if not r.over and not r.began:
-            self._cancel(r)
-            self._end(r)
-
-    def _unsent(self, r: _Request) -> None:
-        """Danger: what waits past its aim is rarely sent at all, and keeps a connection from other clients.
-
-        Only a head whose tokens are about to suffice is held on until then, if its node could take it now.
+        return request.class_settings.effect is Effect.KEYED and request.class_settings.group == "all"
+
+    def _retry_after_us(self, request: _Request) -> int:
+        """Retry delay for the client: the present queue takes about as long as this request has waited."""
+        return min(self.s.retry_after_most_us, max(int(self.tightest_aim), self.now - request.arrived_at))
+
+    def _refuse_or_fail(self, request: _Request) -> None:
+        """Give the request its final answer, and remember its deadline and aim for a retry by the client."""
+        if not request.finished:
+            refusal = api.Refuse(
+                request.id,
+                self._retry_after_us(request),
+                request.waited_for_tokens and not request.attempts,
+            )
+            self.actions.append(refusal if self._may_refuse(request) else api.Fail(request.id))
+            if request.retry_key[1]:
+                self.expected_retries.setdefault(request.retry_key, []).append(
+                    (request.deadline_at, request.aim_at)
+                )
+                self.retry_expiries.append(
+                    (
+                        min(request.deadline_at, self.now + request.class_settings.deadline_us),
+                        request.retry_key,
+                    )
+                )
+            self._finish(request)
+
+    def _expire(self, request: _Request) -> None:
+        """Answer a request in time that still waits, for example for a dead node or behind its key."""
+        if not request.finished and not request.streaming:
+            self._cancel(request)
+            self._refuse_or_fail(request)
+
+    def _expire_unsent(self, request: _Request) -> None:
+        """Refuse a request that has not been sent within its aim.
+
+        It would rarely be sent at all, and holds a connection that other clients need. Only a head whose
+        tokens are about to suffice is kept until then, if its node could take it now.
         """
-        if r.over or r.out or r.reached or self.now < r.held_until:
+        if request.finished or request.in_flight or request.reached_node or self.now < request.hold_until:
             return
-        short = self._short(r) if self._head(r.lane) is r else 0.0
-        if 0 < short <= self.aim and self._spare(r.lane.shard, r) is not None:
-            self._at(self.now + short + self.margin, lambda: self._unsent(r), r)
+        wait_us = self._token_wait_us(request) if self._head(request.lane) is request else 0.0
+        if 0 < wait_us <= self.tightest_aim and self._idle_node(request.lane.shard, request) is not None:
+            self._schedule(self.now + wait_us + self.margin_us, lambda: self._expire_unsent(request), request)
         else:
-            self._end(r)
+            self._refuse_or_fail(request)
 
-    def _cancel(self, r: _Request) -> None:
+    def _cancel(self, request: _Request) -> None:
         if self.s.may_cancel:
-            self.actions.extend(api.Cancel(r.id, i) for i, a in enumerate(r.attempts) if a is not None)
-
-    def _finish(self, r: _Request) -> None:
-        """The request is over; its key stays taken until the outcome of every attempt is known."""
-        self._ends_waiting(r)
-        r.over, r.queued = True, False
-        if r.out:
+            self.actions.extend(
+                api.Cancel(request.id, number)
+                for number, attempt in enumerate(request.attempts)
+                if attempt is not None
+            )
+
+    def _finish(self, request: _Request) -> None:
+        """Mark the request as finished; it occupies its key until the outcome of every attempt is known."""
+        self._uncount_queued(request)
+        request.finished, request.queued = True, False
+        if request.in_flight:
             return
-        if r.aside:
-            self._release(r)
-        self.requests.pop(r.id, None)
-        if not r.cls.ordered or r.key not in self.chains:
+        if request.spend_pending:
+            self._return_tokens(request)
+        self.requests.pop(request.id, None)
+        if not request.class_settings.ordered or request.key not in self.key_queues:
             return
-        chain = self.chains[r.key]
-        while chain and chain[0].over and not chain[0].out:
-            chain.popleft()
-        if not chain:
-            del self.chains[r.key]
-            if self.rests.get(r.key, 0) > self.now:
-                self._at(self.rests[r.key] + 1, lambda: self._next(r.key))
-        elif not chain[0].over:
-            self._next(r.key)
-
-    def _next(self, key: str) -> None:
-        """Release the first of a key, once the rest that the rules ask for is over."""
-        rest = self.rests.get(key, 0)
-        if rest > self.now:
-            self._at(rest + 1, lambda: self._next(key))
+        key_queue = self.key_queues[request.key]
+        while key_queue and key_queue[0].finished and not key_queue[0].in_flight:
+            key_queue.popleft()
+        if not key_queue:
+            del self.key_queues[request.key]
+            if self.key_rests.get(request.key, 0) > self.now:
+                self._schedule(self.key_rests[request.key] + 1, lambda: self._start_next(request.key))
+        elif not key_queue[0].finished:
+            self._start_next(request.key)
+
+    def _start_next(self, key: str) -> None:
+        """Enqueue the first request of an ordered key once the key's rest period has passed."""
+        rest_until = self.key_rests.get(key, 0)
+        if rest_until > self.now:
+            self._schedule(rest_until + 1, lambda: self._start_next(key))
             return
-        self.rests.pop(key, None)
-        chain = self.chains.get(key)
-        if chain and not chain[0].over:
-            self._enqueue(chain[0])
+        self.key_rests.pop(key, None)
+        key_queue = self.key_queues.get(key)
+        if key_queue and not key_queue[0].finished:
+            self._enqueue(key_queue[0])
--- a/rackseam/interface.py
+++ b/rackseam/interface.py
@@ -1,6 +1,7 @@
-"""Types of the decision module: settings, events in, actions out. Types only: decisions are in control.py.
+"""Data types of the decision module: settings, input events and output actions.
 
-Settings that contradict themselves, and requests of no possible size, raise ValueError naming the field.
+The decisions themselves are in control.py. Inconsistent settings and requests with an invalid size raise a
+ValueError that names the field. All times are in microseconds; a request's size is in units.
 """
 
 from __future__ import annotations
@@ -12,7 +13,11 @@
 
 
 class Effect(Enum):
-    """What repeating a request may do."""
+    """Whether a request may be executed more than once.
+
+    SAFE: repeating it has no effect. KEYED: nodes of one group (`RequestClass.group`) recognise a repeat by
+    its key for `RequestClass.key_ttl_us`. UNSAFE: it must not be executed twice.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -20,7 +25,11 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """How an attempt ended.
+
+    ERROR: the node answered with an error. FULL: the node rejected the attempt as overloaded. MOOT: the
+    gateway never started the attempt. UNKNOWN: an outcome code that this version does not know.
+    """
 
     DONE = "done"
     ERROR = "error"
@@ -33,19 +42,22 @@
     UNKNOWN = "unknown"
 
 
-def _check(owner: object, positive: str, not_negative: str) -> None:
-    """Name the first of these fields that is not a finite number, or lies below what it may be."""
-    for names, least in ((positive, "above 0"), (not_negative, "0 or more")):
+def _check(instance: object, positive: str, non_negative: str) -> None:
+    """Raise a ValueError for the first field that is not finite or below its minimum; None is accepted.
+
+    `positive` and `non_negative` are field names separated by spaces.
+    """
+    for names, minimum in ((positive, "above 0"), (non_negative, "0 or more")):
         for name in names.split():
-            value = getattr(owner, name)
+            value = getattr(instance, name)
             if value is None:
                 continue
-            if not math.isfinite(value) or value < 0 or (value == 0 and least == "above 0"):
-                raise ValueError(f"{name}: must be finite and {least}, not {value}")
+            if not math.isfinite(value) or value < 0 or (value == 0 and minimum == "above 0"):
+                raise ValueError(f"{name}: must be finite and {minimum}, not {value}")
 
 
 class NodeState(Enum):
-    """What the list says of a node."""
+    """State of a node in the node list."""
 
     GONE = 0
     READY = 1
@@ -53,7 +65,11 @@
 
 
 class ListKind(Enum):
-    """How a list update is to be read."""
+    """What a list update contains.
+
+    DELTA: changed entries only. FULL: all nodes. CACHED: all nodes as of an earlier list. FAILED: the list
+    could not be fetched.
+    """
 
     DELTA = 0
     FULL = 1
@@ -63,6 +79,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """A kind of request. `aim_us`: target latency; `deadline_us`: latest time for the final answer.
+
+    `group`: the nodes among which a keyed request may be repeated: "all", those of one "zone", or else those
+    of one shard. `ordered`: requests with the same key run one at a time, in order of arrival. `worth` and
+    `late_worth`: value of an answer within the aim, and the part of it that a later answer still has.
+    """
+
     aim_us: int
     deadline_us: int
     effect: Effect = Effect.SAFE
@@ -80,7 +103,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Figures hold for one volume over all gateways and nodes; 0 means none."""
+    """Service terms of a volume. Each figure is for one volume over all gateways and nodes; 0: none.
+
+    `weight`: its share when a node is overloaded; `reserve_units_per_s`: rate served ahead of other volumes.
+    `limit_units_per_s` with `burst_units`: a token bucket, which `tolerance_units` allows to be overdrawn.
+    """
 
     weight: float = 1.0
     reserve_units_per_s: float = 0.0
@@ -97,6 +124,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """Start settings of one gateway's decision module.
+
+    `position`: index of this gateway among `gateways`. `step_us`: resolution of the batch clock.
+    `max_units`, `mean_units`: largest and mean request size. `may_*`: actions that the gateway supports.
+    `list_on_request`: the node list is sent only after a Subscribe; `ask_every_us`: longest time between two
+    of them. A node is cold for `cold_us` after its start, when it has `cold_share` of its capacity and
+    accepts `cold_bears_units` within any `fall_us`. `key_rest_us`: pause of an ordered key after an attempt
+    that may still be running. Attempts after the first within `resend_span_us` are limited to `resend_free`
+    plus `resend_ratio` of the requests; None: no such limit.
+    """
+
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     gateways: int = 1
@@ -126,7 +164,7 @@
     resend_free: float | None = None
     resend_ratio: float | None = None
     resend_span_us: int = 0
-    retry_after_most_us: int = 0  # the longest time a client may be told to stay away; 0: it is told nothing
+    retry_after_most_us: int = 0  # longest retry delay sent to a client; 0: none is sent
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -142,6 +180,8 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeEntry:
+    """One node of the node list. `launched_us`: time of its start; 0: long ago."""
+
     node: str
     shard: int
     state: NodeState = NodeState.READY
@@ -153,6 +193,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
+    """A change to the node list."""
+
     kind: ListKind
     nodes: tuple[NodeEntry, ...] = ()
     version: int = 0
@@ -160,7 +202,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A client request; shard -1 is a new object that any node may take."""
+    """A client request; shard -1 is a new object that any node may take.
+
+    `gateways`: number of gateways that share the volume; `grace_us`: time until the request's deadline.
+    """
 
     request: str
     request_class: int
@@ -180,7 +225,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The end of one attempt; `closed` when the request is finished by it or was before."""
+    """The end of one attempt; `closed`: the request has been answered, by this attempt or before it.
+
+    `elsewhere_units`: units of the volume that the node served for other gateways. `use_percent_plus_one`:
+    the node's load in percent plus 1; 0: not reported.
+    """
 
     request: str
     attempt: int
@@ -195,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Began:
-    """A streamed answer has started: time-outs and the client deadline stop running."""
+    """A streamed answer has started: attempt time-outs and the client deadline no longer apply."""
 
     request: str
     attempt: int
@@ -205,16 +254,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
+    """The client no longer wants the request."""
+
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
+    """A timer set by `SetTimer` has fired."""
+
     tag: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
+    """The result of a `Probe`."""
+
     node: str
     outcome: Outcome
     rtt_us: int = 0
@@ -223,7 +278,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitsChanged:
-    """What may be spent of a limit has changed; an empty volume: of all of them."""
+    """The tokens available under a volume's limit have changed; an empty volume: those of all volumes."""
 
     volume: str = ""
     plan: int = -1
@@ -231,7 +286,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharersChanged:
-    """So many processes of this gateway serve now; this one is number `rank` of them, from 0."""
+    """`sharers` processes of this gateway are serving; `rank` is the index of this one, from 0."""
 
     sharers: int
     rank: int
@@ -239,6 +294,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
+    """A message from another gateway, sent by its `Message`."""
+
     sender: int
     payload: bytes
 
@@ -259,8 +316,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt; time-out 0 means until the client gives up. `spends`: units of a limit were set aside
-    for it just now."""
+    """Start an attempt; time-out 0: until the client gives up.
+
+    `spends`: tokens of the volume's limit were spent on the request with this decision.
+    """
 
     request: str
     node: str
@@ -270,13 +329,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Cancel an attempt that is in flight."""
+
     request: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """`lacks_limit`: what it waited for was tokens of its volume's limit."""
+    """Answer the client that a retry does no harm; `pause_us`: delay to ask for, 0: none.
+
+    `lacks_limit`: the request waited for tokens of its volume's limit.
+    """
 
     request: str
     pause_us: int = 0
@@ -285,32 +349,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
+    """Answer the client that the request failed and may have been executed."""
+
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Deliver a `Timer` with this tag after `in_us`."""
+
     tag: str
     in_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
+    """Ask for updates of the node list."""
+
     want: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    pass
+    """Fetch the node list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Check a node without a client request; answered by a `ProbeResult`."""
+
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
+    """Close the connections to a node."""
+
     node: str
 
 
@@ -324,6 +398,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Write a line to the gateway's log."""
+
     text: str
 
 
--- a/rackseam/slow_start.py
+++ b/rackseam/slow_start.py
@@ -1,24 +1,25 @@
-"""Slow start: what one gateway may send a storage node that has just started, and is cold.
-
-A cold node stays up while all gateways together send it no more than its budget: so many units within the
-fall span, growing evenly while it warms. Gateways do not talk to each other, so each keeps to a share of the
-budget. A request is admitted by any of three ways:
-
-- the share: what this gateway sent within the fall span stays within an even part of the budget;
-- a turn: gateways whose share is below one request come in turn, at a stated pace for all together, and have
-  one request out each;
-- an answer: it shows that the node bears what this gateway sent, at the pace at which it was sent, not more.
-  So it lets the next request out once this gateway's share of a stated pace has earned that request's units,
-  beyond all that it has sent there.
-
-Why the sum keeps the rule: with a budget of N requests of mean work in the span, the rule allows
-N + `chance(N)`. Each of C gateways earns (N/2 + chance(N)) / C requests in a span. What the share and the
-turns let out is taken from the same earnings, so answers only fill up to that pace. In any span a gateway
-differs from it by at most its largest request, at a moment of its own; the other half of N is left for that
-spread and for the error of C, which each gateway estimates alone. A process that has just started has earned
-nothing.
-
-Pure: time is an argument, in microseconds of any steady clock; units are the requests' own.
+"""Slow start: how much one gateway may send to a storage node that has just started and is still cold.
+
+A cold node stays up as long as all gateways together send it no more than its budget: a number of units
+within any period of `fall_us`, which grows linearly while the node warms up. Gateways do not coordinate, so
+each keeps to its own share of the budget. A request is admitted in one of three ways:
+
+- share: the units that this gateway sent within the last `fall_us` stay within an equal part of the budget;
+- turn: gateways whose share is smaller than one request take turns, at a fixed rate for all of them together,
+  with one request in flight each;
+- answer: an answer shows that the node can handle what this gateway sent, at the rate at which it was sent
+  and no higher. It admits the next request once this gateway's share of a fixed rate has earned the units of
+  that request, in addition to all that the gateway has sent to the node.
+
+Why the sum stays within the rule: for a budget of N requests of mean size in the period, the rule allows
+N + `allowed_excess(N)`. Each of C gateways earns (N/2 + allowed_excess(N)) / C requests per period. Requests
+admitted by share or turn are deducted from the same credit, so answers only fill up the difference. Within
+any period a gateway deviates from that rate by at most its largest request, and gateways do so at different
+times. The other half of N absorbs this deviation and the error of C, which each gateway estimates on its own.
+A process that has just started has earned nothing.
+
+No I/O and no clock: the current time is an argument, in microseconds of any monotonic clock. Sizes are in
+request units.
 """
 
 from __future__ import annotations
@@ -30,42 +31,46 @@
 
 from rackseam.interface import Settings
 
-ANSWERS_PART = 0.5  # part of a cold node's budget that answers may let out, beside the rule's chance
-TURNS_PART = 0.5  # part of a cold node's budget that is dealt out in turns of one request a gateway
-SMALL_BUDGET = 30  # requests; the rule allows more chance below it
-LEAST_COLD_SHARE = 0.1  # a cold share stated below this is not believed when the budget's growth is reckoned
-CONTENDERS_MEMORY_US = 5_000_000  # shards asked for within this long tell how many gateways share one
+ANSWERS_PART = 0.5  # fraction of a cold node's budget that answers may admit, besides the allowed excess
+TURNS_PART = 0.5  # fraction of a cold node's budget that is distributed in turns of one request per gateway
+SMALL_BUDGET_REQUESTS = 30  # below this budget the rule allows a larger excess
+LEAST_COLD_SHARE = 0.1  # minimum of the cold share from which the growth of the budget is calculated
+CONTENDERS_MEMORY_US = 5_000_000  # period over which requested shards are counted for `contending_gateways`
 
 
 @dataclass(slots=True)
 class NodeHistory:
-    """What this gateway knows of one node's start, and what it sent there. Bounded by the fall span."""
+    """When a node started, and what this gateway has sent to it within the last `fall_us`."""
 
     name: str
-    launched: int = 0  # when it started; 0: long ago
-    out: int = 0  # attempts without an outcome
-    credit: float = 0.0  # units earned and not sent at the time `credit_at`; below 0: sent ahead of the pace
+    launched: int = 0  # time of the node's start; 0: long ago
+    in_flight: int = 0  # attempts without an outcome
+    credit: float = 0.0  # units earned but not sent as of `credit_at`; below 0: sent ahead of the rate
     credit_at: int = 0
-    sent_at: int = 0  # when the last attempt was sent
-    answered_at: int = 0  # when the last answer came that served a request
-    sent: deque[tuple[int, float]] = field(default_factory=deque)  # when, and units, within the fall span
+    last_sent_at: int = 0
+    last_served_at: int = 0  # time of the last successful answer
+    recent_sends: deque[tuple[int, float]] = field(default_factory=deque)  # (time, units) within `fall_us`
 
     def restarted(self, launched: int) -> None:
-        """The node has started anew: nothing counts that was sent to its last run."""
+        """The node has restarted: units sent before its start no longer count."""
         self.launched = self.credit_at = launched
         self.credit = 0.0
 
     def record_send(self, units: float, now: int) -> None:
-        self.out += 1
+        """Count an attempt that is sent now."""
+        self.in_flight += 1
         self.credit -= units
-        self.sent_at = now
-        self.sent.append((now, units))
+        self.last_sent_at = now
+        self.recent_sends.append((now, units))
 
 
 @dataclass(frozen=True, slots=True)
 class Shares:
-    """Among how many a budget is split. `gateways`: processes of all gateways; `position`: this one's place
-    among them, from 0; `contenders`: how many of them may have work for one node, 1 or more."""
+    """How the budget of a node is shared.
+
+    `gateways`: number of processes of all gateways; `position`: index of this process among them, from 0;
+    `contenders`: how many of them may have requests for the same node, 1 or more.
+    """
 
     gateways: int
     position: int
@@ -73,106 +78,115 @@
 
 
 def contending_gateways(gateways: int, shards_asked: int, shards: int, running_us: int) -> float:
-    """Gateways that may have work for one node: such a part of all as the shards asked for here are of all.
+    """Estimated number of gateways that may have requests for the same node.
 
-    `shards_asked`: within `CONTENDERS_MEMORY_US`. A gateway that has just started reckons from its first
-    moments: bursts ask for one shard, so their number grows about as the root of the time; and one more that
-    it has not seen yet.
+    It is the same fraction of all gateways as the shards requested here within `CONTENDERS_MEMORY_US`
+    (`shards_asked`) are of all shards. A gateway that has been running for less than that extrapolates: since
+    a burst of requests goes to one shard, the number of shards grows with about the square root of time. It
+    also counts up to one shard that it has not seen yet.
     """
-    seen = min(1.0, max(running_us, 1) / CONTENDERS_MEMORY_US)
-    part = (shards_asked / math.sqrt(seen) + 1 - seen) / max(1, shards)
-    return max(1.0, min(1.0, part) * gateways)
+    observed = min(1.0, max(running_us, 1) / CONTENDERS_MEMORY_US)
+    fraction = (shards_asked / math.sqrt(observed) + 1 - observed) / max(1, shards)
+    return max(1.0, min(1.0, fraction) * gateways)
 
 
-def chance(budget_requests: float) -> float:
-    """Requests of mean work by which all gateways together may pass a budget of so many, by the rule."""
-    if budget_requests < SMALL_BUDGET:
+def allowed_excess(budget_requests: float) -> float:
+    """Requests of mean size by which all gateways together may exceed a budget of `budget_requests`."""
+    if budget_requests < SMALL_BUDGET_REQUESTS:
         return 3 * math.sqrt(budget_requests + 3)
     return 2 * math.sqrt(budget_requests) + 2
 
 
 class SlowStart:
-    """Whether one more request may go to a cold node now. `started_at`: when this process began to serve."""
+    """Decides when a request may go to a cold node. `started_at`: when this process began to serve."""
 
     def __init__(self, settings: Settings, started_at: int) -> None:
         self._settings = settings
         self._started_at = started_at
-        self._growth = 0.0  # of the budget, in parts of its first value a microsecond
+        self._growth = 0.0  # of the budget, per microsecond, relative to its initial value
         if settings.cold_us:
             self._growth = (1 / max(settings.cold_share, LEAST_COLD_SHARE) - 1) / settings.cold_us
 
     def is_cold(self, node: NodeHistory, now: int) -> bool:
-        """Whether the budget binds: a span that began while the node was cold has not passed."""
+        """Whether the budget applies: the last `fall_us` reach back to a time when the node was cold."""
         since = now - self._settings.fall_us
-        while node.sent and node.sent[0][0] <= since:
-            node.sent.popleft()
+        while node.recent_sends and node.recent_sends[0][0] <= since:
+            node.recent_sends.popleft()
         if not node.launched or not self._settings.cold_us:
             return False
         return since - node.launched < self._settings.cold_us
 
     def admits_at(self, node: NodeHistory, units: float, now: int, shares: Shares) -> float:
-        """When a request of so many units may go to this cold node: `now` or before, when to look again, or
-        infinity when only an answer can change it."""
+        """When a request of `units` may go to this cold node.
+
+        At most `now`: it may go now. Later: the time at which to ask again. Infinity: only an answer from the
+        node can admit it.
+        """
         budget = self._budget(node, now)
-        part = max(1 / shares.gateways, TURNS_PART / shares.contenders)
-        if sum(sent for _, sent in node.sent) + units <= part * self._left_by_predecessor(node, budget, now):
+        share = max(1 / shares.gateways, TURNS_PART / shares.contenders)
+        if sum(sent for _, sent in node.recent_sends) + units <= share * self._share_base(node, budget, now):
             return now
-        if units > budget / 2 or node.out:
+        if units > budget / 2 or node.in_flight:
             return math.inf
         next_turn = self._next_turn(node, shares)
-        if not node.answered_at >= node.sent_at > node.launched:
+        if not node.last_served_at >= node.last_sent_at > node.launched:
             return next_turn
         return min(next_turn, self._earned_at(node, units, budget, now, shares))
 
     def _earned_at(self, node: NodeHistory, units: float, budget: float, now: int, shares: Shares) -> float:
-        """When this gateway's share of the answers' pace has earned so many units, beyond all it sent."""
-        s = self._settings
+        """When this gateway's share of the answer rate has earned `units` more than it has sent."""
+        settings = self._settings
         if not budget:
             return math.inf
-        requests = budget / s.mean_units
-        most = (ANSWERS_PART * requests + chance(requests)) * s.mean_units
-        pace = most / (shares.contenders * max(1, s.fall_us))
+        requests = budget / settings.mean_units
+        period_units = (ANSWERS_PART * requests + allowed_excess(requests)) * settings.mean_units
+        rate = period_units / (shares.contenders * max(1, settings.fall_us))
         since = max(node.credit_at, self._started_at)
-        node.credit = min(s.max_units, node.credit + pace * max(0, now - since))
+        node.credit = min(settings.max_units, node.credit + rate * max(0, now - since))
         node.credit_at = now
-        return now + math.ceil(max(0.0, units - node.credit) / pace)
+        return now + math.ceil(max(0.0, units - node.credit) / rate)
 
     def _budget(self, node: NodeHistory, now: int) -> float:
-        """Units within the span that ends now. The node warms at least evenly: it bears what it did at the
-        span's start."""
+        """Units that all gateways together may have sent within the last `fall_us`.
+
+        It is what the node could handle at the start of that period, as it warms up at least linearly.
+        """
         age = max(0, now - self._settings.fall_us - node.launched)
         return self._settings.cold_bears_units * (1 + self._growth * age)
 
-    def _left_by_predecessor(self, node: NodeHistory, budget: float, now: int) -> float:
-        """What of the budget counts for shares, while the span reaches back to before this process began.
+    def _share_base(self, node: NodeHistory, budget: float, now: int) -> float:
+        """The part of the budget that shares count from, less what a predecessor may have used.
 
-        A process that ran before it, on this gateway, may have used the whole share until then. What the node
-        has gained since the span's start makes up for that first.
+        While the last `fall_us` reach back to before the start of this process, a previous process of this
+        gateway may have used its whole share until then. The growth of the node's capacity since the start of
+        that period makes up for this first.
         """
-        span = max(1, self._settings.fall_us)
-        part_before = 1 - (now - self._started_at) / span
+        period = max(1, self._settings.fall_us)
+        part_before = 1 - (now - self._started_at) / period
         if part_before <= 0 or node.launched >= self._started_at:
             return budget
-        gained = self._settings.cold_bears_units * self._growth * min(span, now - node.launched)
+        gained = self._settings.cold_bears_units * self._growth * min(period, now - node.launched)
         return min(budget, budget * (1 - part_before) + gained)
 
     def _next_turn(self, node: NodeHistory, shares: Shares) -> float:
         """When this gateway's next turn begins.
 
-        Turns passed by an age: the integral of their part of the budget, a mean request each. A gateway that
-        has sent waits for its next turn; one that has just started cannot know whether it had, and takes none
-        that came before what still counts.
+        The number of turns until a given age of the node is the integral of their part of the budget, at one
+        request of mean size per turn. A gateway that has sent a request waits for its next turn. A process
+        that has just started does not know whether its gateway has had a turn. It takes no turn that lies
+        before the period that still counts.
         """
-        s, growth = self._settings, self._growth
-        pace = TURNS_PART * s.cold_bears_units / (s.mean_units * max(1, s.fall_us))
-        if not pace:
+        settings, growth = self._settings, self._growth
+        rate = TURNS_PART * settings.cold_bears_units / (settings.mean_units * max(1, settings.fall_us))
+        if not rate:
             return math.inf
-        age = max(0, self._started_at - s.fall_us - node.launched, node.sent_at - node.launched)
-        turns_passed = pace * age * (1 + growth * age / 2)
+        age = max(0, self._started_at - settings.fall_us - node.launched, node.last_sent_at - node.launched)
+        turns_passed = rate * age * (1 + growth * age / 2)
+        # The order of the gateways differs between nodes, and between starts of a node.
         place = (shares.position + zlib.crc32(f"{node.name} {node.launched}".encode())) % shares.gateways + 1
-        first = place * shares.contenders / shares.gateways
-        round_ = max(0, math.ceil((turns_passed - first) / shares.contenders))
-        due = (first + round_ * shares.contenders) / pace
+        first_turn = place * shares.contenders / shares.gateways
+        round_ = max(0, math.ceil((turns_passed - first_turn) / shares.contenders))
+        turn_age = (first_turn + round_ * shares.contenders) / rate
         if growth:
-            due = (math.sqrt(1 + 2 * growth * due) - 1) / growth
-        return node.launched + math.ceil(min(due, s.cold_us + s.fall_us))
+            turn_age = (math.sqrt(1 + 2 * growth * turn_age) - 1) / growth
+        return node.launched + math.ceil(min(turn_age, settings.cold_us + settings.fall_us))
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -50,7 +50,7 @@
         g.wait(500 * MS)
     assert len(g.controller.volumes) < 30
     assert len(g.controller.requests) < 10
-    assert len(g.controller.alarms) < 60
+    assert len(g.controller.scheduled) < 60
     for i in range(50):
         g.do(ListUpdate(ListKind.DELTA, (entry(f"m{i}", 1), entry(f"m{i - 1}", 1, NodeState.GONE))))
     assert len(g.controller.nodes) < 6
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -42,10 +42,10 @@
         for i in range(200):
             g.ask(shard=9, key=f"p{i}", grace_us=2_000 * MS)
             g.wait(50 * MS)
-        self.assertLess(len(g.controller.unserved), 50)
+        self.assertLess(len(g.controller.expected_retries), 50)
         g.wait(3_000 * MS)
         g.ask(key="p")
-        self.assertFalse(g.controller.unserved or g.controller.unserved_order)
+        self.assertFalse(g.controller.expected_retries or g.controller.retry_expiries)
 
     def test_an_attempt_that_is_out_at_half_of_the_time_is_waited_for(self) -> None:
         for outcome, finals in ((Outcome.CONNECT_FAILED, [Refuse("a", 0)]), (Outcome.FULL, [])):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -252,4 +252,4 @@
         for request, n in list(g.attempts.items()):
             g.answer(request, attempt=n - 1, node=g.sends()[-1].node)
     g.wait(3 * S)
-    assert len(g.controller.alarms) < 100
+    assert len(g.controller.scheduled) < 100
