--- a/rackseam/control.py
+++ b/rackseam/control.py
@@ -77,9 +77,7 @@
         self.maybe_ran_at = -1  # send time of the first attempt that may have been executed
         self.bound_node: _Node | None = None  # node of that attempt: repeats stay within its group
         self.hold_until = min(now + int(arrival.grace_us * HOLD_TIME_FRACTION), self.aim_at)
-        self.tokens_spent = self.queued = self.late = self.finished = self.streaming = self.reached_node = (
-            False
-        )
+        self.tokens_spent = self.queued = self.late = self.finished = self.streaming = self.reached = False
         self.spend_pending, self.spent_at = False, 0  # tokens are spent, but no node has received the request
         self.counted = False  # included in the queued units of its lane
         self.waited_for_tokens = False  # has been the head of its lane without enough tokens
@@ -122,10 +120,9 @@
         self.number, self.tag, self.requested_at = number, 0.0, -1
         self.nodes: list[_Node] = []
         self.backlog = Backlog()
-        self.by_reserve: list[
-            tuple[float, int, int, _Lane]
-        ] = []  # ready lanes by the time the reserve suffices
-        self.by_tag: list[tuple[float, int, int, _Lane]] = []  # ready lanes by the weight tag
+        # Ready lanes, as (key, sequence number, version, lane): by the time the reserve suffices, and by tag.
+        self.by_reserve: list[tuple[float, int, int, _Lane]] = []
+        self.by_tag: list[tuple[float, int, int, _Lane]] = []
         self.late: list[tuple[int, int, _Request]] = []  # requests past their aim, by deadline
 
 
@@ -150,9 +147,7 @@
         self.volumes: dict[tuple[str, int], _Volume] = {}
         self.nodes: dict[str, _Node] = {}
         self.listed: list[_Node] = []  # the ready nodes, each at its index `place`
-        self.leaving: dict[
-            str, _Node
-        ] = {}  # nodes that are not ready; dropped once nothing is in flight there
+        self.leaving: dict[str, _Node] = {}  # not ready; dropped once nothing is in flight there
         self.all_nodes = _Node("")  # mean answer time and total rate of all nodes
         self.shards: dict[int, _Shard] = {}
         self.key_queues: dict[str, deque[_Request]] = {}
@@ -561,8 +556,9 @@
         expected_us = (self._rtt(nodes[-1]) if nodes else self.all_nodes.rtt) * self._size_factor(request)
         expected_us = min(request.class_settings.aim_us * MAX_EXPECTED_AIM_FRACTION, expected_us)
         if self.now + expected_us > request.aim_at:
-            # Under overload a FIFO would serve only requests that are late already. A request that cannot meet
-            # its aim waits for spare capacity. An ordered one with others behind it is refused to free its key.
+            # Under overload a FIFO would serve only requests that are late already. So a request that cannot
+            # meet its aim waits for spare capacity; an ordered one with others behind it is refused to free
+            # its key.
             heappop(lane.heap)
             self._uncount_queued(request)
             request.late = True
@@ -608,8 +604,9 @@
             return EPSILON
         max_units, mean_units = self._max_in_flight_units(node), self.s.mean_units
         if max_units < mean_units and not reserved:
-            # With many gateways, one request in flight for each is a long queue already. A cap below one request
-            # becomes a rate: the time between sends keeps that much in flight on average. The reserve is exempt.
+            # With many gateways, one request in flight for each is a long queue already. So a cap below one
+            # request becomes a rate: the time between sends keeps that much in flight on average. Requests
+            # within a reserve are exempt.
             next_send_at = node.history.last_sent_at + int(self._rtt(node) * mean_units / max_units)
             if next_send_at > self.now:
                 self._schedule_recheck(node, next_send_at)
@@ -627,7 +624,7 @@
         self._schedule_recheck(node, node.paused_until)
 
     def _schedule_recheck(self, node: _Node, when: int) -> None:
-        """Check again at `when` whether the node has room. One check is pending at most: they must not multiply."""
+        """Check again at `when` whether the node has room. At most one such check is pending."""
         if self.now < node.recheck_at <= when:
             return
         node.recheck_at = max(when, self.now + 1)
@@ -898,8 +895,8 @@
                 self._update_rtt(
                     node, max(self._rtt(node), (self.now - sent_at) / self._size_factor(request))
                 )
-        request.reached_node = request.reached_node or outcome not in (Outcome.CONNECT_FAILED, Outcome.MOOT)
-        if request.reached_node and request.spend_pending:
+        request.reached = request.reached or outcome not in (Outcome.CONNECT_FAILED, Outcome.MOOT)
+        if request.reached and request.spend_pending:
             self.written(request.id, self.now)
         elif outcome is Outcome.MOOT and request.spend_pending and not request.in_flight:
             # The tokens were spent too long ago, or for a node that has moved: they have to be spent again.
@@ -966,7 +963,7 @@
         It would rarely be sent at all, and holds a connection that other clients need. Only a head whose
         tokens are about to suffice is kept until then, if its node could take it now.
         """
-        if request.finished or request.in_flight or request.reached_node or self.now < request.hold_until:
+        if request.finished or request.in_flight or request.reached or self.now < request.hold_until:
             return
         wait_us = self._token_wait_us(request) if self._head(request.lane) is request else 0.0
         if 0 < wait_us <= self.tightest_aim and self._idle_node(request.lane.shard, request) is not None:
