--- a/rackseam/control.py
+++ b/rackseam/control.py
@@ -199,9 +199,7 @@
             heappop(self.scheduled)[2]()
             self._serve_marked()
         while self.scheduled and (owner := self.scheduled[0][3]) is not None and owner.finished:
-            heappop(
-                self.scheduled
-            )  # most requests finish long before their calls are due: set no timer for them
+            heappop(self.scheduled)  # most requests finish long before their calls are due: set no timer
         if self.scheduled and self.scheduled[0][0] < self.timer_at:
             self.timer_at = self.scheduled[0][0]
             self.actions.append(api.SetTimer("due", self.timer_at - now_us))
@@ -624,7 +622,10 @@
         self._schedule_recheck(node, node.paused_until)
 
     def _schedule_recheck(self, node: _Node, when: int) -> None:
-        """Check again at `when` whether the node has room. At most one such check is pending."""
+        """Check again at `when` whether the node has room.
+
+        At most one check is pending: since checks schedule further checks, they would multiply otherwise.
+        """
         if self.now < node.recheck_at <= when:
             return
         node.recheck_at = max(when, self.now + 1)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -41,20 +41,25 @@
 class Fleet:
     """Independent gateways in front of one node that has just started; each has its own seed and clients."""
 
-    def __init__(self, gateways: int, bears: float, hot: float, capacity: float, restart: bool,
+    def __init__(self, gateways: int, budget: float, hot: float, capacity: float, restart: bool,
                  outcome: Outcome, seed: int, share: float = COLD_SHARE, processes: int = 1,
                  rates: tuple[float, ...] = (12.0,)) -> None:  # fmt: skip
-        """`bears`: the node's initial budget in units; `hot`: fraction of requests that go to it.
+        """`budget`: the node's initial budget in units; `hot`: fraction of requests that go to it.
 
         `capacity`: what it can serve, relative to the budget; `share`: fraction of its capacity that it has
         at its start; `processes`: number per gateway; `rates`: requests per second of the processes, in turn.
         """
         self.share, self.rates = share, rates
-        self.random, self.hot, self.bears, self.outcome = random.Random(seed), hot, bears, outcome
-        self.capacity = capacity * bears / TIP_MULTIPLE / (FALL_US / 1e6)  # units per second at its start
+        self.random, self.hot, self.budget, self.outcome = (
+            random.Random(seed),
+            hot,
+            budget,
+            outcome,
+        )
+        self.capacity = capacity * budget / TIP_MULTIPLE / (FALL_US / 1e6)  # units per second at its start
         base = replace(
             SETTINGS, classes=(replace(READ, aim_us=400 * MS, deadline_us=2 * S),), gateways=gateways,
-            max_units=4.0, fall_us=FALL_US, cold_us=COLD_US, cold_bears_units=bears, cold_share=share,
+            max_units=4.0, fall_us=FALL_US, cold_us=COLD_US, cold_bears_units=budget, cold_share=share,
             tip_multiple=TIP_MULTIPLE, mean_units=MEAN_UNITS, max_attempts=3,
         )  # fmt: skip
         count = gateways * processes
@@ -137,7 +142,7 @@
         worst = -math.inf
         for at, _ in self.sends:
             received = sum(units for t, units in self.sends if at - FALL_US < t <= at) / MEAN_UNITS
-            budget = self.bears / MEAN_UNITS * (1 + (1 / self.share - 1) * (at - STARTED_AT) / COLD_US)
+            budget = self.budget / MEAN_UNITS * (1 + (1 / self.share - 1) * (at - STARTED_AT) / COLD_US)
             worst = max(worst, (received - budget) / (2 * math.sqrt(budget) + 2))
         return worst
 
@@ -146,7 +151,7 @@
         worst = -math.inf
         for at, _ in self.sends:
             received = sum(units for t, units in self.sends if at - FALL_US < t <= at) / MEAN_UNITS
-            budget = self.bears / MEAN_UNITS * (1 + (1 / self.share - 1) * (at - STARTED_AT) / COLD_US)
+            budget = self.budget / MEAN_UNITS * (1 + (1 / self.share - 1) * (at - STARTED_AT) / COLD_US)
             allowed = 2 * math.sqrt(budget) + 2 if budget >= 30 else 3 * math.sqrt(budget + 3)
             worst = max(worst, (received - budget) / allowed)
         return worst
@@ -163,9 +168,9 @@
         st.integers(0, 2**31),
     )
     def test_the_budget_holds_at_a_node_that_can_handle_exactly_its_budget(
-        self, gateways: int, bears: float, hot: float, restart: bool, outcome: Outcome, seed: int
+        self, gateways: int, budget: float, hot: float, restart: bool, outcome: Outcome, seed: int
     ) -> None:  # fmt: skip
-        fleet = Fleet(gateways, bears, hot, 1.0, restart, outcome, seed)
+        fleet = Fleet(gateways, budget, hot, 1.0, restart, outcome, seed)
         fleet.run()
         self.assertTrue(fleet.sends, "nothing was sent, so the budget was not tested")
         self.assertLessEqual(fleet.max_excess(), 1.0)
@@ -192,14 +197,16 @@
     def test_the_budget_holds_however_fast_the_node_answers(self) -> None:
         """Guards against answers that admit the next request at the node's own rate."""
         for gateways, requests in product((6, 20, 30), (7, 15, 30, 60)):
-            for pace, outcome, restart in (
+            for capacity, outcome, restart in (
                 (4.0, Outcome.DONE, False),
                 (8.0, Outcome.DONE, False),
                 (8.0, Outcome.DONE, True),
                 (8.0, Outcome.ERROR, False),
             ):
-                with self.subTest(gateways=gateways, requests=requests, pace=pace, outcome=outcome):
-                    fleet = Fleet(gateways, requests * MEAN_UNITS, 0.5, pace, restart, outcome, seed=requests)
+                with self.subTest(gateways=gateways, requests=requests, capacity=capacity, outcome=outcome):
+                    fleet = Fleet(
+                        gateways, requests * MEAN_UNITS, 0.5, capacity, restart, outcome, seed=requests
+                    )
                     fleet.run()
                     self.assertTrue(fleet.sends)
                     self.assertLessEqual(fleet.max_excess_by_size(), 1.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -242,9 +242,8 @@
 
 def test_a_request_larger_than_the_part_of_the_burst_is_sent_within_the_tolerance() -> None:
     gateway = Gateway()
-    gateway.ask(
-        plan=LIMITED_PLAN, units=12.0, gateways=4, name="a"
-    )  # part of the burst: 10; of the tolerance: 2
+    # The gateway's part of the burst is 10 units, that of the tolerance 2 units.
+    gateway.ask(plan=LIMITED_PLAN, units=12.0, gateways=4, name="a")
     gateway.wait(2_500 * MS)  # refused at its aim, while the bucket continues to fill
     assert gateway.final_answers("a") == [Refuse("a", 0)]
     assert sent_requests(gateway.ask(plan=LIMITED_PLAN, units=12.0, gateways=4, name="b")) == ["b"]
