--- a/stackrouter/controlplane/__init__.py
+++ b/stackrouter/controlplane/__init__.py
@@ -1,5 +1,5 @@
-"""The control plane apart from the gateways: few voting replicas, and gateways as observers of their state.
+"""Separate control plane: a few voting replicas, with gateways as observers of the replicated state.
 
-Off on the platform. `codec`, `delta_log`, `snapshot`, `routing`, `replica` and `observer` decide without I/O;
-`server` and `client` have the sockets; `process` runs a replica.
+Disabled on the platform. `codec`, `delta_log`, `snapshot`, `routing`, `replica` and `observer` contain the
+logic without I/O; `server` and `client` own the sockets; `process` runs a replica.
 """
--- a/stackrouter/controlplane/client.py
+++ b/stackrouter/controlplane/client.py
@@ -1,8 +1,7 @@
-"""The sockets round an `Observer`: a gateway's connection to the control plane.
+"""Socket driver of an `Observer`: a gateway's connection to the control plane.
 
-Real gateways, hollow gateways of a scale run and replicas that do not vote all use this class; they differ in
-the sink that takes what came. There are no globals, threads or greenlets, so that thousands can be in one
-process.
+Real gateways, hollow gateways of a scale run and non-voting replicas all use this class, with different sinks
+for the received state. It has no globals, threads or greenlets, so that thousands fit into one process.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 import gevent
 
 from stackrouter.config import address_of
-from stackrouter.controlplane.codec import MOST_TO_GATEWAY, FrameDecoder, encode
+from stackrouter.controlplane.codec import MAX_TO_GATEWAY_BYTES, FrameDecoder, encode
 from stackrouter.controlplane.connection import Connection
 from stackrouter.controlplane.frames_pb2 import Delta
 from stackrouter.controlplane.observer import (
@@ -44,34 +43,34 @@
 
 
 class Sink(Protocol):
-    """Takes what the control plane tells a gateway. Neither method may wait."""
+    """Receives policies and nodes from the control plane for a gateway. Methods must not block."""
 
     def take_policy(self, body: str) -> None:
-        """Serve under these settings from now on. Raises ConfigError or ValueError: nothing has changed."""
+        """Apply these settings. Raises ConfigError or ValueError, changing nothing, if they are invalid."""
 
     def take_nodes(self, piece: TakeNodes) -> None:
-        """Take a piece of a change of the list of storage nodes."""
+        """Apply a piece of a change to the list of storage nodes."""
 
 
 class Relay(Protocol):
-    """Takes what a replica that does not vote passes on. No method may wait."""
+    """Receives what a non-voting replica forwards to its own gateways. Methods must not block."""
 
     def state_loaded(self, state: ReplicatedState) -> None:
-        """The whole state came, in place of changes."""
+        """The whole state was received, instead of changes."""
 
     def change_received(self, number: int, delta: Delta) -> None:
-        """The next change came."""
+        """The next change was received."""
 
     def heartbeat_confirmed(self, sequence: int, position: LogPosition) -> None:
-        """This heartbeat and all before it were confirmed with the quorum."""
+        """The quorum confirmed this heartbeat and all earlier ones."""
 
     def disconnected(self) -> None:
-        """Heartbeats that were not confirmed by now will not be."""
+        """The connection ended: outstanding heartbeats will not be confirmed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientFigures:
-    """Counts are since the start. `serving_since_us`: by the client's clock."""
+    """Counters and position of a client. Counts are since the start; `serving_since_us`: on its clock."""
 
     bytes_in: int
     bytes_out: int
@@ -87,7 +86,8 @@
 
 
 class ObserverClient:
-    """`version_taken` is called after a version was tried: it, whether it is served under now, and when."""
+    """Runs an observer on a socket. `version_taken` is called after each attempt to apply a version, with the
+    version, whether it is in force here now, and the time."""
 
     def __init__(
         self,
@@ -99,103 +99,103 @@
         clock: Callable[[], int] = boottime_us,
         times: ObserverTimes | None = None,
         relay: Relay | None = None,
-        version_taken: Callable[[Version, bool, int], None] = lambda version, good, now: None,
+        version_taken: Callable[[Version, bool, int], None] = lambda version, applied, now: None,
     ) -> None:
         self.policy = PolicyStateMachine(rules)
         self.observer = Observer(identity, replicas, self.policy, rng, times, relay is not None)
         self.clock = clock
-        self.last_valid_us: int | None = None  # when a valid heartbeat was last seen
+        self.last_valid_us: int | None = None  # when the heartbeat was last found valid
         self._sink, self._relay, self._version_taken = sink, relay, version_taken
         self._loop: Any = gevent.get_hub().loop
-        self._alarm = self._loop.timer(0)
+        self._timer = self._loop.timer(0)
         self._connection: Connection | None = None
-        self._decoder = FrameDecoder(MOST_TO_GATEWAY)
+        self._decoder = FrameDecoder(MAX_TO_GATEWAY_BYTES)
         self._stopped = True
-        self._ended_bytes_in = self._ended_bytes_out = 0
+        self._closed_bytes_in = self._closed_bytes_out = 0
         self._frames_in = self._frames_out = self._connections = self._hangups = 0
-        self._failures = 0  # connections in a row that ended without an answered heartbeat
+        self._failures = 0  # hangups in a row without a valid heartbeat in between
 
     def start(self) -> None:
-        """Connect, and stay connected."""
+        """Connect, and reconnect whenever the connection ends."""
         self._stopped = False
         self._tick()
 
     def stop(self) -> None:
-        """End the connection and make no other. May be started again."""
+        """Close the connection and do not reconnect. `start` may be called again."""
         self._stopped = True
-        self._alarm.stop()
+        self._timer.stop()
         if self._connection is not None:
-            self._drop()
+            self._close_connection()
             self.observer.disconnected(self.clock())
 
     def heartbeat(self) -> int:
-        """Send a heartbeat now; its sequence, 0 where there is no connection."""
+        """Send a heartbeat now; its sequence, or 0 without a connection."""
         sequence, actions = self.observer.heartbeat(self.clock())
         self._carry_out(actions)
         self._flush()
-        self._set_alarm()
+        self._schedule_tick()
         return sequence
 
     def hold_reading(self, held: bool) -> None:
-        """For drills: stop reading from the present connection, as a gateway that is stuck does."""
+        """For drills: stop or resume reading from the current connection, to simulate a blocked gateway."""
         if self._connection is not None:
             self._connection.hold_reading(held)
 
     def heartbeat_valid(self) -> bool:
-        """Whether what is in force in the fleet is known here."""
+        """Whether a recent heartbeat proves that this gateway knows the policy in force."""
         return self.policy.heartbeat_valid(self.clock())
 
     def figures(self) -> ClientFigures:
-        """What was carried, and where this gateway stands."""
+        """Traffic counters, and the position of this gateway."""
         connection, observer = self._connection, self.observer
-        bytes_in = self._ended_bytes_in + (connection.bytes_in if connection is not None else 0)
-        bytes_out = self._ended_bytes_out + (connection.bytes_out if connection is not None else 0)
+        bytes_in = self._closed_bytes_in + (connection.bytes_in if connection is not None else 0)
+        bytes_out = self._closed_bytes_out + (connection.bytes_out if connection is not None else 0)
         return ClientFigures(
             bytes_in, bytes_out, self._frames_in, self._frames_out, self._connections, self._hangups,
             observer.position, observer.replica.name if observer.replica is not None else "",
             self.policy.serving.number, self.policy.since, self.heartbeat_valid(),
         )  # fmt: skip
 
-    # What is heard.
+    # Events of sockets and timers.
 
     def _tick(self) -> None:
-        self._guarded(self.observer.tick)
+        self._call_observer(self.observer.tick)
 
     def _connected(self, connection: Connection) -> None:
         self._connections += 1
-        self._guarded(self.observer.connected)
+        self._call_observer(self.observer.connected)
 
     def _received(self, data: bytes) -> None:
         try:
             frames = self._decoder.feed(data)
         except FrameError as error:
-            self._guarded(self.observer.unreadable, error)
+            self._call_observer(self.observer.unreadable, error)
             return
         connection = self._connection
         for frame in frames:
             if self._connection is not connection:
-                return  # what was read before has ended the connection
+                return  # an earlier frame has ended the connection
             self._frames_in += 1
             self._carry_out(self.observer.received(frame, self.clock()))
         self._flush()
-        self._set_alarm()
+        self._schedule_tick()
 
     def _disconnected(self, why: str) -> None:
-        self._ended()
+        self._connection_ended()
         log.debug("control plane: connection ended: %s", why)
-        self._guarded(self.observer.disconnected)
+        self._call_observer(self.observer.disconnected)
 
-    def _guarded(self, method: Callable[..., list[ObserverAction]], *arguments: object) -> None:
-        """Call a method of the observer, with the time as its last argument, and do what it returns. A defect
-        must not end the gateway: without the control plane it goes on as `on_loss` says."""
+    def _call_observer(self, method: Callable[..., list[ObserverAction]], *arguments: object) -> None:
+        """Call a method of the observer, with the time as its last argument, and carry out its actions. A bug
+        must not stop the gateway: without the control plane it continues as `on_loss` configures."""
         try:
             self._carry_out(method(*arguments, self.clock()))
             self._flush()
         except Exception:
             defect(log, "control plane")
-        self._set_alarm()
+        self._schedule_tick()
 
-    # What is to be done.
+    # Actions of the observer.
 
     def _carry_out(self, actions: Sequence[ObserverAction]) -> None:
         for action in actions:
@@ -213,20 +213,20 @@
                 case Hangup():
                     self._hang_up(action)
                 case _:
-                    self._pass_on(action)
+                    self._forward(action)
 
     def _take_policy(self, version: Version) -> None:
-        good = True
+        applied = True
         try:
             self._sink.take_policy(version.body)
-        except (ConfigError, ValueError) as error:  # checked where it was proposed, it may not fit here
-            good = False
+        except (ConfigError, ValueError) as error:  # validated where it was proposed, but invalid here
+            applied = False
             tell(log, PolicyTakeError(error), f"policy.failed version={version.number}", logging.ERROR)
         now = self.clock()
-        self._carry_out(self.observer.policy_taken(version, good, now))
-        self._version_taken(version, good, now)
+        self._carry_out(self.observer.policy_taken(version, applied, now))
+        self._version_taken(version, applied, now)
 
-    def _pass_on(self, action: StateLoaded | ChangeReceived | HeartbeatConfirmed) -> None:
+    def _forward(self, action: StateLoaded | ChangeReceived | HeartbeatConfirmed) -> None:
         assert self._relay is not None
         match action:
             case StateLoaded():
@@ -237,7 +237,7 @@
                 self._relay.heartbeat_confirmed(action.sequence, action.position)
 
     def _connect(self, replica: ReplicaAddress) -> None:
-        self._decoder = FrameDecoder(MOST_TO_GATEWAY)
+        self._decoder = FrameDecoder(MAX_TO_GATEWAY_BYTES)
         address = address_of(replica.address, "replica")
         try:
             self._connection = Connection.connect(
@@ -250,21 +250,21 @@
     def _hang_up(self, action: Hangup) -> None:
         self._hangups += 1
         self._failures += 1
-        if not self._failures & (self._failures - 1):  # 1, 2, 4, ...: an outage must not fill the log
+        if not self._failures & (self._failures - 1):  # at 1, 2, 4, ...: limits log lines during an outage
             tell(log, action.error, f"control plane, {self._failures} in a row")
         if self._connection is not None:
-            self._drop()
+            self._close_connection()
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         assert self._connection is not None
         self._connection.close()
-        self._ended()
+        self._connection_ended()
 
-    def _ended(self) -> None:
-        """The connection is over: its counts go into the sums."""
+    def _connection_ended(self) -> None:
+        """Add the counters of the ended connection to the totals."""
         if self._connection is not None:
-            self._ended_bytes_in += self._connection.bytes_in
-            self._ended_bytes_out += self._connection.bytes_out
+            self._closed_bytes_in += self._connection.bytes_in
+            self._closed_bytes_out += self._connection.bytes_out
             self._connection = None
         if self._relay is not None:
             self._relay.disconnected()
@@ -276,10 +276,10 @@
         if self.policy.heartbeat_valid(now):
             self.last_valid_us, self._failures = now, 0
 
-    def _set_alarm(self) -> None:
+    def _schedule_tick(self) -> None:
         if self._stopped:
             return
-        left_s = (self.observer.next_at() - self.clock()) / 1e6
-        self._alarm.stop()
-        self._alarm = self._loop.timer(max(0.0, left_s))
-        self._alarm.start(self._tick)
+        delay_s = (self.observer.next_at() - self.clock()) / 1e6
+        self._timer.stop()
+        self._timer = self._loop.timer(max(0.0, delay_s))
+        self._timer.start(self._tick)
--- a/stackrouter/controlplane/codec.py
+++ b/stackrouter/controlplane/codec.py
@@ -1,7 +1,7 @@
-"""Frames as bytes: a length of 4 bytes (big-endian), then a serialized `Frame`. No I/O.
+"""Encoding of frames: a length of 4 bytes (big-endian), then a serialized `Frame`. No I/O.
 
-Both ends bound what they take: a length over the bound ends the connection before anything is kept for it,
-which is also what a stranger's first bytes meet.
+Both ends limit the size of a frame: a length over the limit ends the connection before anything is buffered.
+The first bytes of other protocols usually read as such a length too.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 from stackrouter.errors import FrameEmptyError, FrameError, FrameTooLargeError, FrameUnreadableError
 
 PREFIX_BYTES = 4
-MOST_TO_REPLICA = 16 * 1024  # bytes of a Hello or a Heartbeat, of a replica that observes with 16 names
-MOST_TO_GATEWAY = 8 * 1024 * 1024  # a change that names all of 20,000 nodes, or a policy of 256 KiB
+MOST_TO_REPLICA = 16 * 1024  # bytes of a Hello, or of a Heartbeat of an observing replica with 16 names
+MAX_TO_GATEWAY_BYTES = 8 * 1024 * 1024  # a change that names all of 20,000 nodes, or a policy of 256 KiB
 
 
 def encode(frame: Frame) -> bytes:
-    """The frame with its length before it."""
+    """Serialize a frame with its length prefix."""
     body = frame.SerializeToString()
     return len(body).to_bytes(PREFIX_BYTES, "big") + body
 
 
 class FrameDecoder:
-    """Frames out of a stream's bytes, fed in any pieces. Keeps at most one unfinished frame.
+    """Decodes frames from a byte stream, fed in arbitrary pieces. Buffers at most one incomplete frame.
 
-    A FrameError is final: the stream cannot be read on, and each later `feed` raises it again.
+    A FrameError is final: the stream cannot be decoded further, and every later `feed` raises it again.
     """
 
-    def __init__(self, most_bytes: int) -> None:
-        self._most_bytes = most_bytes  # of one serialized Frame
-        self._unfinished = bytearray()
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes  # of one serialized Frame
+        self._incomplete = bytearray()
         self._failed: FrameError | None = None
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The frames that these bytes complete, in order."""
+        """Decode more bytes; the frames completed by them, in order."""
         failed = self._failed
         if failed is not None:
             raise failed
@@ -42,36 +42,36 @@
             return self._frames(data)
         except FrameError as error:
             self._failed = error
-            self._unfinished.clear()
+            self._incomplete.clear()
             raise
 
     def _frames(self, data: bytes) -> list[Frame]:
-        if self._unfinished:
-            self._unfinished += data
-            frames, used = self._complete(self._unfinished)
-            del self._unfinished[:used]
+        if self._incomplete:
+            self._incomplete += data
+            frames, used = self._decode_complete(self._incomplete)
+            del self._incomplete[:used]
         else:
-            frames, used = self._complete(data)
-            self._unfinished += data[used:]
+            frames, used = self._decode_complete(data)
+            self._incomplete += data[used:]
         return frames
 
-    def _complete(self, data: bytes | bytearray) -> tuple[list[Frame], int]:
-        """All whole frames at the beginning, and how many bytes they take."""
+    def _decode_complete(self, data: bytes | bytearray) -> tuple[list[Frame], int]:
+        """All complete frames at the start of the data, and their total size."""
         frames: list[Frame] = []
         start, length = 0, len(data)
         while length - start >= PREFIX_BYTES:
             body = start + PREFIX_BYTES
             size = int.from_bytes(data[start:body], "big")
-            if size > self._most_bytes:
-                raise FrameTooLargeError(f"a frame of {size} bytes, at most {self._most_bytes} are taken")
+            if size > self._max_bytes:
+                raise FrameTooLargeError(f"a frame of {size} bytes, at most {self._max_bytes} are taken")
             if length - body < size:
                 break
-            frames.append(_parsed(bytes(data[body : body + size])))
+            frames.append(_parse(bytes(data[body : body + size])))
             start = body + size
         return frames, start
 
 
-def _parsed(body: bytes) -> Frame:
+def _parse(body: bytes) -> Frame:
     try:
         frame = Frame.FromString(body)
     except DecodeError as error:
--- a/stackrouter/controlplane/conversion.py
+++ b/stackrouter/controlplane/conversion.py
@@ -1,4 +1,5 @@
-"""Between the ledger's words (versions, discovery's JSON items, events) and the frames' messages. No I/O."""
+"""Conversion between the ledger's types (versions, discovery's JSON items, events) and protobuf messages. No
+I/O."""
 
 from __future__ import annotations
 
@@ -21,29 +22,29 @@
 
 
 def position_message(position: LogPosition) -> Position:
-    """A position as a message."""
+    """Convert a position to its message."""
     return Position(history=position.history, number=position.number)
 
 
 def position_from(message: Position) -> LogPosition:
-    """A position out of a message."""
+    """Convert a message to a position."""
     return LogPosition(message.history, message.number)
 
 
 def summary_message(report: ServingReport) -> ServingSummary:
-    """What gateways serve under as a message."""
+    """Convert a serving report to its message."""
     counts = [ServingSummary.VersionCount(version=v, gateways=count) for v, count in report.by_version]
     return ServingSummary(gateways=report.gateways, by_version=counts, behind=report.behind)
 
 
 def report_from(message: ServingSummary) -> ServingReport:
-    """What gateways serve under out of a message, as far as a report may go."""
+    """Convert a message to a serving report, truncated to MOST_REPORTED versions and names."""
     by_version = tuple((count.version, count.gateways) for count in message.by_version[:MOST_REPORTED])
     return ServingReport(message.gateways, by_version, tuple(message.behind[:MOST_REPORTED]))
 
 
 def policy_message(version: Version) -> PolicyVersion:
-    """A version of the policy as a message."""
+    """Convert a policy version to its message."""
     return PolicyVersion(
         number=version.number,
         digest=version.digest,
@@ -54,12 +55,12 @@
 
 
 def version_from(message: PolicyVersion) -> Version:
-    """A version of the policy out of a message."""
+    """Convert a message to a policy version."""
     return Version(message.number, message.digest, message.body, message.after_us, message.proposed_by)
 
 
 def node_message(item: dict[str, Any]) -> Node:
-    """One entry of discovery's JSON list as a message."""
+    """Convert an entry of discovery's JSON list to a message."""
     return Node(
         name=item["name"],
         address=item.get("address") or "",
@@ -73,7 +74,7 @@
 
 
 def item_from(node: Node) -> dict[str, Any]:
-    """An entry as discovery's JSON has it."""
+    """Convert a message to an entry of discovery's JSON list."""
     return {
         "name": node.name,
         "address": node.address,
@@ -87,7 +88,7 @@
 
 
 def delta_from(change: Change) -> Delta:
-    """A numbered change of the ledger as a message."""
+    """Convert a numbered change of the ledger to a message."""
     match change:
         case PolicySeen():
             return Delta(number=change.change, committed=policy_message(change.version))
--- a/stackrouter/controlplane/delta_log.py
+++ b/stackrouter/controlplane/delta_log.py
@@ -9,14 +9,14 @@
 
 
 class DeltaLog:
-    """Encoded Delta frames with consecutive numbers, the newest `most_entries` and `most_bytes` of them."""
+    """Encoded Delta frames with consecutive numbers, bounded by `max_entries` and `max_bytes`."""
 
-    def __init__(self, start: LogPosition, most_entries: int, most_bytes: int) -> None:
+    def __init__(self, start: LogPosition, max_entries: int, max_bytes: int) -> None:
         self.history = start.history
-        self._oldest = start.number  # `after` is known from this number on
+        self._oldest = start.number  # the lowest number that `after` can answer
         self._entries: deque[bytes] = deque()
         self._bytes = 0
-        self._most_entries, self._most_bytes = most_entries, most_bytes
+        self._max_entries, self._max_bytes = max_entries, max_bytes
 
     @property
     def newest(self) -> int:
@@ -25,22 +25,22 @@
 
     @property
     def retained_bytes(self) -> int:
-        """How many bytes of encoded changes are kept."""
+        """Total size of the retained changes."""
         return self._bytes
 
     def append(self, number: int, encoded: bytes) -> None:
-        """Keep the next change; older ones go where it gets too many or too large."""
+        """Append the next change, dropping the oldest while a bound is exceeded. Raises StreamGapError."""
         if number != self.newest + 1:
             raise StreamGapError(f"change {number} does not follow {self.newest}")
         self._entries.append(encoded)
         self._bytes += len(encoded)
-        while len(self._entries) > self._most_entries or self._bytes > self._most_bytes:
+        while len(self._entries) > self._max_entries or self._bytes > self._max_bytes:
             self._bytes -= len(self._entries.popleft())
             self._oldest += 1
 
     def after(self, position: LogPosition) -> list[bytes] | None:
-        """All changes after a position, encoded. None: they are not all here (it is of another history,
-        older than what is retained, or newer than all)."""
+        """All changes after a position, encoded. None: they are not all retained (the position is in another
+        history, older than the log, or newer than its last change)."""
         if position.history != self.history or not self._oldest <= position.number <= self.newest:
             return None
         skipped = position.number - self._oldest
--- a/stackrouter/controlplane/figures.py
+++ b/stackrouter/controlplane/figures.py
@@ -1,4 +1,4 @@
-"""What a replica's process costs and how late it runs, for `control status`."""
+"""CPU time, memory and timer lateness of a replica's process, for `control status`."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 
 import gevent
 
-SAMPLE_S = 0.1
-SAMPLES = 600  # the last minute
+SAMPLE_INTERVAL_S = 0.1
+MAX_SAMPLES = 600  # one minute
 
 
 class Lateness:
-    """How much later than due this process's timers run: the machine was busy, or its own loop was held."""
+    """Measures how late timers run: the machine was busy, or a callback blocked the event loop."""
 
     def __init__(self) -> None:
-        self._late_s: deque[float] = deque(maxlen=SAMPLES)
+        self._late_s: deque[float] = deque(maxlen=MAX_SAMPLES)
 
     def start(self) -> None:
-        """Begin to measure."""
+        """Start measuring."""
         gevent.spawn(self._run)
 
-    def percentile_ms(self, part: float) -> float:
-        """Of the last minute; 1.0: the maximum."""
+    def percentile_ms(self, fraction: float) -> float:
+        """A percentile over the last minute, given as a fraction; 1.0: the maximum."""
         ordered = sorted(self._late_s)
         if not ordered:
             return 0.0
-        place = min(len(ordered) - 1, int(part * len(ordered)))
-        return round(ordered[place] * 1000, 1)
+        index = min(len(ordered) - 1, int(fraction * len(ordered)))
+        return round(ordered[index] * 1000, 1)
 
     def _run(self) -> None:
         while True:
-            due = time.monotonic() + SAMPLE_S
-            gevent.sleep(SAMPLE_S)
+            due = time.monotonic() + SAMPLE_INTERVAL_S
+            gevent.sleep(SAMPLE_INTERVAL_S)
             self._late_s.append(max(0.0, time.monotonic() - due))
 
 
 def cpu_ms() -> int:
-    """Processor time of this process since its start."""
-    used = resource.getrusage(resource.RUSAGE_SELF)
-    return round((used.ru_utime + used.ru_stime) * 1000)
+    """CPU time of this process since its start."""
+    usage = resource.getrusage(resource.RUSAGE_SELF)
+    return round((usage.ru_utime + usage.ru_stime) * 1000)
 
 
 def rss_mib() -> float:
--- a/stackrouter/controlplane/gateway.py
+++ b/stackrouter/controlplane/gateway.py
@@ -1,7 +1,7 @@
-"""A gateway's part in the control plane: what an `ObserverClient` brings, put round the engine.
+"""Connects a gateway's engine to the control plane, through an `ObserverClient`.
 
-The policy is served under as with coordination. The list of storage nodes is taken from the control plane as
-long as it comes; a gateway that has heard none for `stale_ms`, or missed a change, asks discovery itself.
+Policies are applied as with coordination. The list of storage nodes comes from the control plane while it is
+up to date; a gateway that received none for `stale_ms`, or missed a change, queries discovery itself.
 """
 
 from __future__ import annotations
@@ -29,24 +29,25 @@
 from stackrouter.edge.config import Control
 from stackrouter.net.discovery import Discovery
 
-TOKEN = 0  # a follower tells publishers apart by it; here there is one stream
-LONGEST_WAIT_S = 0.2
-SHORTEST_WAIT_S = 0.01
-MOST_LISTINGS = 1024  # received and not yet with the engine; past it discovery is asked for the whole list
+PUBLISHER_TOKEN = 0  # identifies the publisher to a follower; here there is only one stream
+MAX_WAIT_S = 0.2
+MIN_WAIT_S = 0.01
+MAX_QUEUED_LISTINGS = 1024  # to deliver to the engine; above it discovery is queried for the whole list
 
 
 class GatewayControl:
-    """`take_policy` makes a version's settings hold here, or raises ConfigError or ValueError."""
+    """The control plane's client in a gateway. `take_policy` applies the settings of a version, or raises
+    ConfigError or ValueError."""
 
     def __init__(self, name: str, control: Control, discovery: Discovery, counters: Counters,
                  take_policy: Callable[[str], None]) -> None:  # fmt: skip
         self.name, self._counters = name, counters
-        self._discovery, self._set_policy = discovery, take_policy
+        self._discovery, self._apply_policy = discovery, take_policy
         self._follower = Follower(control.stale_ms * 1000)
-        self._missed = False  # a change that is not known here: discovery is asked at once
-        self._stream_index = -1  # discovery's version, by the last change that the control plane told
-        self._items: list[dict[str, Any]] = []  # of a change that comes in pieces
-        self._listings: deque[dict[str, Any]] = deque()  # on their way to the engine, in order
+        self._missed_change = False  # a change was missed: query discovery now
+        self._stream_index = -1  # discovery's version in the last change from the control plane
+        self._partial_items: list[dict[str, Any]] = []  # of the change being received in pieces
+        self._listings: deque[dict[str, Any]] = deque()  # to deliver to the engine, in order
         self._worker: Greenlet[..., None] | None = None
         self.client = ObserverClient(
             GatewayIdentity(name, f"{name}#{os.getpid():x}.{time.time_ns() & 0xFFFFFFFF:x}", control.region),
@@ -57,22 +58,22 @@
         self.policy = self.client.policy
 
     def start(self) -> None:
-        """Connect, and let the control plane tell the list."""
+        """Connect, and take the list of nodes from the control plane."""
         self._discovery.fleet = self
         self.client.start()
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         self.client.stop()
         if self._worker is not None:
             self._worker.kill(block=False)
 
     def holds_back(self) -> bool:
-        """Whether no new request may be taken now: this gateway cannot know what policy is in force."""
+        """Whether new requests must be refused: this gateway cannot know which policy is in force."""
         return not self.policy.serves(self.client.clock())
 
     def not_ready(self) -> str:
-        """Why the admin socket may not say that this gateway serves; empty: it may."""
+        """The reason why the admin socket must not report this gateway as serving; empty: it may."""
         if self.policy.ready(self.client.clock()):
             return ""
         failed = self.policy.failed
@@ -83,7 +84,7 @@
     def status(self) -> str:
         """The answer to `control status`."""
         figures, now = self.client.figures(), self.client.clock()
-        told = GatewayStatus(
+        report = GatewayStatus(
             gateway=self.name, role="gateway", replica=figures.replica, history=figures.position.history,
             position=figures.position.number, serving=figures.serving,
             since_s=round((now - figures.serving_since_us) / 1e6, 1), heartbeat_valid=figures.heartbeat_valid,
@@ -91,67 +92,67 @@
             bytes_out=figures.bytes_out, frames_in=figures.frames_in, frames_out=figures.frames_out,
             connections=figures.connections, hangups=figures.hangups,
         )  # fmt: skip
-        return f"SUCCESS {json.dumps(asdict(told), separators=(',', ':'))}"
+        return f"SUCCESS {json.dumps(asdict(report), separators=(',', ':'))}"
 
     @property
     def lists_pending(self) -> bool:
-        """A list came that is not wholly with the engine yet."""
+        """Whether a received list is not fully delivered to the engine yet."""
         return bool(self._listings) or (self._worker is not None and not self._worker.dead)
 
-    # What the client brings (client.Sink).
+    # Methods for the client (client.Sink).
 
     def take_policy(self, body: str) -> None:
-        self._set_policy(body)
+        self._apply_policy(body)
         self._counters.add("policy.taken")
 
     def take_nodes(self, piece: TakeNodes) -> None:
         if piece.first:
-            self._items = []
-        self._items += [item_from(node) for node in piece.nodes]
+            self._partial_items = []
+        self._partial_items += [item_from(node) for node in piece.nodes]
         if piece.last:
-            items, self._items = self._items, []
+            items, self._partial_items = self._partial_items, []
             self._follow(piece.index, piece.whole, items)
 
-    # What discovery asks (net.discovery.Fleet).
+    # Methods for discovery (net.discovery.Fleet).
 
     def wait_s(self) -> float:
-        """How long discovery need not be asked by this gateway; 0: it is to ask now."""
+        """How long this gateway need not query discovery; 0: query it now."""
         now = self.client.clock()
         if not self._follows(now):
             return 0.0
         stale_at = self._follower.stale_at()
         assert stale_at is not None
-        return min(LONGEST_WAIT_S, max(SHORTEST_WAIT_S, (stale_at - now) / 1e6))
+        return min(MAX_WAIT_S, max(MIN_WAIT_S, (stale_at - now) / 1e6))
 
     def told(self, base: int | None, listing: dict[str, Any]) -> None:
-        """Discovery answered this gateway's own call."""
+        """Discovery answered a query of this gateway."""
         index = int(listing["index"])
         self._follower.asked(index)
-        self._missed = index < self._stream_index  # an older list than the control plane's: ask on
+        self._missed_change = index < self._stream_index  # older than the control plane's list: query again
 
     def _follows(self, now: int) -> bool:
-        return not self._missed and self._follower.role(now, acting=False) is Role.FOLLOW
+        return not self._missed_change and self._follower.role(now, acting=False) is Role.FOLLOW
 
     def _follow(self, index: int, whole: bool, items: list[dict[str, Any]]) -> None:
         base = None if whole else self._stream_index
         self._stream_index = index
-        verdict = self._follower.takes(self.client.clock(), TOKEN, base, index)
-        self._missed = self._missed or verdict is Verdict.GAP
+        verdict = self._follower.takes(self.client.clock(), PUBLISHER_TOKEN, base, index)
+        self._missed_change = self._missed_change or verdict is Verdict.GAP
         if verdict is Verdict.TAKE:
             self._counters.add("control.listings")
-            self._hand_over({"index": index, "snapshot": whole, "endpoints": items})
+            self._queue_listing({"index": index, "snapshot": whole, "endpoints": items})
 
-    def _hand_over(self, listing: dict[str, Any]) -> None:
-        """Queue a list for the engine. A long one is taken in pieces, with the event loop free in between, so
-        a greenlet of its own does it, in the order in which lists came."""
-        if len(self._listings) >= MOST_LISTINGS:
+    def _queue_listing(self, listing: dict[str, Any]) -> None:
+        """Queue a list for the engine. A long list is applied in pieces that yield to the event loop, so a
+        separate greenlet applies the lists, in order."""
+        if len(self._listings) >= MAX_QUEUED_LISTINGS:
             self._listings.clear()
-            self._missed = True
+            self._missed_change = True
             return
         self._listings.append(listing)
         if self._worker is None or self._worker.dead:
-            self._worker = gevent.spawn(self._take_listings)
+            self._worker = gevent.spawn(self._deliver_listings)
 
-    def _take_listings(self) -> None:
+    def _deliver_listings(self) -> None:
         while self._listings:
             self._discovery.follow(self._listings.popleft())
--- a/stackrouter/controlplane/observer.py
+++ b/stackrouter/controlplane/observer.py
@@ -1,13 +1,15 @@
-"""A gateway's side of the control plane: which replica it asks, what it takes, when it is in touch. No I/O.
-
-An observer holds one connection to one replica. It receives the numbered stream of changes, or a snapshot
-first, and sends heartbeats, over coord.policy's state machine. Times are microseconds, passed in.
-
-- It never takes a state with a lower number of the history that it follows.
-- Another history is taken only by a whole snapshot, and only once a heartbeat of this connection was answered
-  in that history: a replica of an abandoned history, which has no quorum, can not draw a gateway back.
-- Storage nodes are handed on in pieces, one a `tick`, so that a long list never holds the caller up.
-- Every connection's heartbeats are its own: an answer counts only for one that was sent on this connection.
+"""State machine of a gateway that observes the control plane: connection, received state, heartbeats. No I/O.
+
+An observer has one connection to one replica at a time. It receives the numbered stream of changes, after a
+snapshot where needed, and sends heartbeats for coord.policy's state machine. Times are microseconds,
+passed in.
+
+- It never loads a state with a lower number of the history that it follows.
+- It switches to another history only with a complete snapshot, and only after a heartbeat of this connection
+  was answered in that history: a replica of an abandoned history has no quorum, so it cannot move a gateway
+  back.
+- Storage nodes are delivered in pieces, one per `tick`, so that a long list never blocks the caller.
+- An answer counts only for a heartbeat that was sent on the same connection.
 """
 
 from __future__ import annotations
@@ -66,12 +68,12 @@
     "TakePolicy",
 ]
 
-MOST_HELD_DELTAS = 1024  # of a history that is not confirmed yet
+MAX_UNCONFIRMED_DELTAS = 1024  # buffered for a history that is not confirmed yet
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayIdentity:
-    """Who the gateway is. `life`: another one for each start of its process."""
+    """Identity of a gateway. `life`: differs for each start of its process."""
 
     gateway: str
     life: str
@@ -80,20 +82,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ObserverTimes:
-    """In microseconds."""
+    """Timeouts and delays of an observer, in microseconds."""
 
-    connect_within: int = 2_000_000
-    welcome_within: int = 2_000_000
-    silence: int = 3_000_000  # a heartbeat without an answer, or while waiting for a snapshot: nothing at all
-    snapshot_within: int = 60_000_000  # from the welcome to the end of the snapshot
-    good_after: int = 3_000_000  # a connection that was live for so long resets the backoff
+    connect_timeout_us: int = 2_000_000
+    welcome_timeout_us: int = 2_000_000
+    silence: int = 3_000_000  # without a heartbeat answer; while a snapshot is expected: without any frame
+    snapshot_timeout_us: int = 60_000_000  # from the Welcome to the end of the snapshot
+    stable_after_us: int = 3_000_000  # a connection that was live this long resets the backoff
     backoff_base: int = 100_000
-    backoff_most: int = 2_000_000  # well below the time in which a change has to be in force
+    backoff_most: int = 2_000_000  # well below the time within which a change must be in force
 
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Open a connection to this replica: `connected` or `disconnected` follows."""
+    """Open a connection to this replica, then call `connected` or `disconnected`."""
 
     replica: ReplicaAddress
 
@@ -107,28 +109,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Hangup:
-    """Close the connection (or the attempt), and call nothing for it any more: the observer has left it."""
+    """Close the connection (or the attempt) and make no further calls for it: the observer has dropped it."""
 
     error: ControlError
 
 
 @dataclass(frozen=True, slots=True)
 class TakePolicy:
-    """Take this version now, and call `policy_taken` before anything else."""
+    """Apply this version now, and call `policy_taken` before any other method."""
 
     version: Version
 
 
 @dataclass(frozen=True, slots=True)
 class StateLoaded:
-    """For a replica that passes on what it observes: the whole state, in place of changes."""
+    """For an observing replica: the whole state, instead of changes."""
 
     state: ReplicatedState
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeReceived:
-    """For a replica that passes on what it observes: the next change."""
+    """For an observing replica: the next change."""
 
     number: int
     delta: Delta
@@ -136,8 +138,8 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatConfirmed:
-    """For a replica that passes on what it observes: the heartbeat was answered, at this position. All
-    heartbeats before it are confirmed with it."""
+    """For an observing replica: the heartbeat was answered at this position, which confirms all earlier
+    heartbeats too."""
 
     sequence: int
     position: LogPosition
@@ -149,18 +151,18 @@
 
 
 class Link(Enum):
-    """How far the connection is."""
+    """State of the connection."""
 
-    WAITING = "waiting"  # for the time to connect
+    WAITING = "waiting"  # until the next attempt
     CONNECTING = "connecting"
-    GREETING = "greeting"  # the Hello was sent
-    SNAPSHOT = "snapshot"  # a snapshot is to come
+    GREETING = "greeting"  # Hello was sent, no Welcome yet
+    SNAPSHOT = "snapshot"  # a snapshot is expected
     LIVE = "live"
 
 
 @dataclass(slots=True)
-class _Held:
-    """A state of another history, until that is confirmed."""
+class _UnconfirmedState:
+    """State received in another history, buffered until that history is confirmed."""
 
     snapshot: ReceivedSnapshot
     deltas: list[Delta] = field(default_factory=list)
@@ -172,10 +174,10 @@
 
 
 class Observer:
-    """One gateway's connection to the control plane. Methods return what is to be done, in order.
+    """One gateway's connection to the control plane. Methods return the actions to carry out, in order.
 
-    The driver ticks when `next_at` has come. After a Hangup the connection is over for the observer; the
-    driver calls `disconnected` only for a connection that ended without one.
+    The driver calls `tick` when `next_at` is reached. After a Hangup the observer has dropped the connection;
+    the driver calls `disconnected` only for a connection that ended without one.
     """
 
     def __init__(
@@ -190,30 +192,30 @@
         self.identity, self.policy = identity, policy
         self.times = times or ObserverTimes()
         self.replicas = replica_order(identity.gateway, identity.region, replicas)
-        self.position = LogPosition()  # of the last change that was received whole; no history: nothing was
+        self.position = LogPosition()  # of the last change received; without a history: none
         self.link = Link.WAITING
-        self.replica: ReplicaAddress | None = None  # the one that is connected to, or being tried
-        self._relay = relay  # a replica that observes: it takes nothing itself
-        self.relayed = ServingReport()  # of a relay: what its own gateways serve under, told with heartbeats
+        self.replica: ReplicaAddress | None = None  # connected or connecting to it
+        self._relay = relay  # an observing replica: it forwards the state, and applies nothing
+        self.relayed = ServingReport()  # of a relay: report on its own gateways, sent with heartbeats
         self._backoff = Backoff(self.times.backoff_base, self.times.backoff_most, rng)
-        self._next_replica = 0  # in the order
-        self._not_before = dict[str, int]()  # by replica: when it may be tried again, as it said itself
+        self._next_replica = 0  # index in `replicas`
+        self._retry_not_before = dict[str, int]()  # by replica: end of the retry delay that it asked for
         self._link_at = 0  # when `link` last changed; while WAITING: when to connect
-        self._heard_at = 0
-        self._good_since: int | None = None  # when this connection became live
+        self._last_received_at = 0
+        self._live_since: int | None = None  # when this connection became live
         self._stream_history = ""  # of this connection
         self._assembler = SnapshotAssembler()
-        self._held: _Held | None = None
+        self._unconfirmed: _UnconfirmedState | None = None
         self._pending = PendingNodes()
-        self._sequence = 0  # of the last heartbeat, of all connections
-        self._answered = 0  # the last that was answered or belongs to an older connection
+        self._sequence = 0  # of the last heartbeat, over all connections
+        self._answered = 0  # the last heartbeat that was answered or sent on an older connection
         self._unanswered_since: int | None = None
         self._heartbeat_at = 0
 
     # --- the connection
 
     def connected(self, now: int) -> list[ObserverAction]:
-        """The connection that was asked for is open."""
+        """The requested connection is open."""
         if self.link is not Link.CONNECTING:
             return []
         self._change_link(Link.GREETING, now)
@@ -223,31 +225,31 @@
         return [SendFrame(Frame(hello=hello))]
 
     def disconnected(self, now: int) -> list[ObserverAction]:
-        """The connection has ended, or could not be had."""
-        self._leave(now)
+        """The connection has ended, or could not be opened."""
+        self._drop_connection(now)
         return []
 
     def unreadable(self, error: ControlError, now: int) -> list[ObserverAction]:
-        """The codec could not read what came."""
+        """The codec could not decode the received bytes."""
         return self._hang_up(error, now)
 
     def received(self, frame: Frame, now: int) -> list[ObserverAction]:
-        """A frame came."""
+        """A frame was received."""
         if self.link in (Link.WAITING, Link.CONNECTING):
             return []
-        self._heard_at = now
+        self._last_received_at = now
         try:
-            return self._take(frame, now)
+            return self._handle(frame, now)
         except ControlError as error:
             return self._hang_up(error, now)
 
     def policy_taken(self, version: Version, good: bool, now: int) -> list[ObserverAction]:
-        """How taking a version went."""
+        """Result of a TakePolicy action."""
         self.policy.version_taken(version, now, good)
         return []
 
     def heartbeat(self, now: int) -> tuple[int, list[ObserverAction]]:
-        """Send a heartbeat now, also before it is due; its sequence. 0: there is no connection."""
+        """Send a heartbeat now, even if none is due; its sequence, or 0 without a connection."""
         if self.link not in (Link.SNAPSHOT, Link.LIVE):
             return 0, []
         self._sequence += 1
@@ -255,7 +257,7 @@
         self._heartbeat_at = now + self.policy.rules.heartbeat_every_us
         if self._unanswered_since is None:
             self._unanswered_since = now
-        serving = 0 if self._held is not None else self.policy.serving.number
+        serving = 0 if self._unconfirmed is not None else self.policy.serving.number
         heartbeat = Heartbeat(
             sequence=self._sequence,
             serving=serving,
@@ -269,29 +271,29 @@
     # --- time
 
     def tick(self, now: int) -> list[ObserverAction]:
-        """What is due now: one piece of the list at most."""
-        actions = self._take_piece()
+        """Run everything that is due; delivers at most one piece of the list of nodes."""
+        actions = self._next_piece()
         if self.link is Link.WAITING:
             return actions + (self._connect(now) if now >= self._link_at else [])
-        if (error := self._overdue(now)) is not None:
+        if (error := self._timeout_error(now)) is not None:
             return actions + self._hang_up(error, now)
         if self.link in (Link.SNAPSHOT, Link.LIVE) and now >= self._heartbeat_at:
             actions += self.heartbeat(now)[1]
         return actions
 
     def next_at(self) -> int:
-        """When `tick` has something to do at the latest."""
+        """The latest time for the next call of `tick`."""
         if self._pending:
-            return 0  # at once, when the loop has had its turn
+            return 0  # immediately, in the next iteration of the event loop
         if self.link is Link.WAITING:
             return self._link_at
-        due = self._due_at()
+        due = self._times_out_at()
         return min(due, self._heartbeat_at) if self.link in (Link.SNAPSHOT, Link.LIVE) else due
 
-    # --- the connection, within
+    # --- the connection, internals
 
     def _change_link(self, link: Link, now: int) -> None:
-        self.link, self._link_at, self._heard_at = link, now, now
+        self.link, self._link_at, self._last_received_at = link, now, now
 
     def _connect(self, now: int) -> list[ObserverAction]:
         if not self.replicas:
@@ -302,24 +304,24 @@
         return [Connect(self.replica)]
 
     def _choose(self, now: int) -> ReplicaAddress:
-        """The next in the order that has not asked to be left alone for now; if all have, the next."""
-        self._not_before = {name: at for name, at in self._not_before.items() if at > now}
+        """The next replica in order whose retry delay is over; if there is none, the next one."""
+        self._retry_not_before = {name: at for name, at in self._retry_not_before.items() if at > now}
         count = len(self.replicas)
         start = self._next_replica
         candidates = [(start + step) % count for step in range(count)]
-        free = (n for n in candidates if self.replicas[n].name not in self._not_before)
+        free = (n for n in candidates if self.replicas[n].name not in self._retry_not_before)
         chosen = next(free, start)
-        self._next_replica = (chosen + 1) % count  # where this one fails
+        self._next_replica = (chosen + 1) % count  # tried if this one fails
         return self.replicas[chosen]
 
-    def _leave(self, now: int) -> None:
-        """Forget the connection; another replica is tried after a delay."""
+    def _drop_connection(self, now: int) -> None:
+        """Drop the connection; another replica is tried after a delay."""
         if self.link is Link.WAITING:
             return
-        if self._good_since is not None and now - self._good_since >= self.times.good_after:
+        if self._live_since is not None and now - self._live_since >= self.times.stable_after_us:
             self._backoff.reset()
         self._change_link(Link.WAITING, now + self._backoff.next_delay_us())
-        self._good_since, self._unanswered_since, self._held = None, None, None
+        self._live_since, self._unanswered_since, self._unconfirmed = None, None, None
         self._assembler = SnapshotAssembler()
         self._answered = self._sequence
         self.replica = None
@@ -328,43 +330,43 @@
         if self.link is Link.WAITING:
             return []
         address = self.replica.address if self.replica is not None else ""
-        self._leave(now)
+        self._drop_connection(now)
         return [Hangup(type(error)(error.what, address=address))]
 
-    def _due_at(self) -> int:
-        """When the replica is given up, if nothing more comes."""
+    def _times_out_at(self) -> int:
+        """When the connection times out if nothing more is received."""
         times = self.times
         match self.link:
             case Link.CONNECTING:
-                return self._link_at + times.connect_within
+                return self._link_at + times.connect_timeout_us
             case Link.GREETING:
-                return self._link_at + times.welcome_within
+                return self._link_at + times.welcome_timeout_us
             case Link.SNAPSHOT:
-                return min(self._link_at + times.snapshot_within, self._heard_at + times.silence)
+                return min(self._link_at + times.snapshot_timeout_us, self._last_received_at + times.silence)
         since = self._unanswered_since
         return self._heartbeat_at if since is None else since + times.silence
 
-    def _overdue(self, now: int) -> ControlError | None:
-        if now < self._due_at():
+    def _timeout_error(self, now: int) -> ControlError | None:
+        if now < self._times_out_at():
             return None
         match self.link:
             case Link.CONNECTING:
-                return ReplicaSilentError("no connection in time")
+                return ReplicaSilentError("no connection within the timeout")
             case Link.GREETING:
-                return ReplicaSilentError("no welcome in time")
+                return ReplicaSilentError("no Welcome within the timeout")
             case Link.SNAPSHOT:
-                return ReplicaSilentError("no snapshot in time")
+                return ReplicaSilentError("no snapshot within the timeout")
         return None if self._unanswered_since is None else ReplicaSilentError("heartbeats are not answered")
 
-    # --- what comes
+    # --- received frames
 
-    def _take(self, frame: Frame, now: int) -> list[ObserverAction]:
+    def _handle(self, frame: Frame, now: int) -> list[ObserverAction]:
         body = frame.WhichOneof("body")
         if body == "reject":
             return self._rejected(frame.reject, now)
         if self.link is Link.GREETING:
             if body != "welcome":
-                raise FrameUnexpectedError(f"{body} came before a welcome")
+                raise FrameUnexpectedError(f"{body} frame before a Welcome")
             return self._welcomed(frame.welcome, now)
         match body:
             case "snapshot_part":
@@ -376,12 +378,12 @@
                 return self._delta(frame.delta, now)
             case "heartbeat_answer" if self.link is Link.LIVE:
                 return self._heartbeat_answered(frame.heartbeat_answer, now)
-        raise FrameUnexpectedError(f"{body} is not allowed now")
+        raise FrameUnexpectedError(f"{body} frame is not allowed in this state of the connection")
 
     def _rejected(self, reject: Reject, now: int) -> list[ObserverAction]:
         if self.replica is not None and reject.retry_after_ms:
             after_us = min(reject.retry_after_ms * 1000, self.times.backoff_most)
-            self._not_before[self.replica.name] = now + after_us
+            self._retry_not_before[self.replica.name] = now + after_us
         if reject.reason in RejectReason.values():
             name = RejectReason.Name(reject.reason)
         else:
@@ -390,21 +392,21 @@
 
     def _welcomed(self, welcome: Welcome, now: int) -> list[ObserverAction]:
         if not welcome.history:
-            raise FrameUnexpectedError("a welcome without a history")
+            raise FrameUnexpectedError("Welcome without a history")
         self._stream_history = welcome.history
         if not welcome.resumed:
             self._change_link(Link.SNAPSHOT, now)
         elif self.position.history == welcome.history:
             self._become_live(now)
         else:
-            raise FrameUnexpectedError("a stream was resumed that belongs to another history")
+            raise FrameUnexpectedError("the replica resumed a stream of another history")
         return self.heartbeat(now)[1]
 
     def _become_live(self, now: int) -> None:
         self._change_link(Link.LIVE, now)
-        self._good_since = now if self._good_since is None else self._good_since
+        self._live_since = now if self._live_since is None else self._live_since
         if self._unanswered_since is not None:
-            self._unanswered_since = now  # answers could not come before
+            self._unanswered_since = now  # no answers are sent before this point
 
     def _expect_snapshot(self, now: int) -> None:
         if self.link is Link.LIVE:
@@ -415,44 +417,48 @@
         snapshot = self._assembler.add(part)
         if snapshot is None:
             return []
-        ours, theirs = self.position, snapshot.position
-        self._held = None
-        if ours.history and ours.history != theirs.history:
+        own_position, received_position = self.position, snapshot.position
+        self._unconfirmed = None
+        if own_position.history and own_position.history != received_position.history:
             self._become_live(now)
-            self._held = _Held(snapshot)
-            self._stream_history = theirs.history
+            self._unconfirmed = _UnconfirmedState(snapshot)
+            self._stream_history = received_position.history
             return []
-        if theirs.number < ours.number:
-            raise ReplicaBehindError(f"a snapshot of {theirs.number}, {ours.number} is known here")
+        if received_position.number < own_position.number:
+            raise ReplicaBehindError(
+                f"the snapshot is at {received_position.number}, this gateway at {own_position.number}"
+            )
         self._become_live(now)
-        self._stream_history = theirs.history
-        if theirs == ours:
+        self._stream_history = received_position.history
+        if received_position == own_position:
             return []
         return self._load(snapshot, now)
 
     def _delta(self, delta: Delta, now: int) -> list[ObserverAction]:
         position = self._received_position()
         if delta.number != position.number + 1:
-            raise StreamGapError(f"change {delta.number} came after {position.number}")
-        if self._held is None:
+            raise StreamGapError(f"change {delta.number} does not follow {position.number}")
+        if self._unconfirmed is None:
             return self._apply(delta, now)
-        if len(self._held.deltas) >= MOST_HELD_DELTAS:
-            raise StreamGapError("too many changes of a history that is not confirmed")
-        self._held.deltas.append(delta)
+        if len(self._unconfirmed.deltas) >= MAX_UNCONFIRMED_DELTAS:
+            raise StreamGapError("too many changes of an unconfirmed history")
+        self._unconfirmed.deltas.append(delta)
         return []
 
     def _received_position(self) -> LogPosition:
-        return self.position if self._held is None else self._held.position
+        return self.position if self._unconfirmed is None else self._unconfirmed.position
 
     def _heartbeat_answered(self, answer: HeartbeatAnswer, now: int) -> list[ObserverAction]:
         if not self._answered < answer.sequence <= self._sequence:
-            raise FrameUnexpectedError(f"heartbeat {answer.sequence} is not open here")
+            raise FrameUnexpectedError(f"answer to heartbeat {answer.sequence}, which is not outstanding")
         confirmed, received = position_from(answer.position), self._received_position()
         if confirmed.history != received.history:
-            raise FrameUnexpectedError("a heartbeat was answered in another history")
+            raise FrameUnexpectedError("heartbeat answer in another history")
         if confirmed.number > received.number:
-            raise StreamGapError(f"change {confirmed.number} is confirmed, {received.number} came")
-        actions = self._adopt(now) if self._held is not None else []
+            raise StreamGapError(
+                f"change {confirmed.number} is confirmed, but only {received.number} was received"
+            )
+        actions = self._adopt_history(now) if self._unconfirmed is not None else []
         self._answered = answer.sequence
         self._unanswered_since = None if answer.sequence == self._sequence else now
         self.policy.heartbeat_answered(answer.sequence, True, now)
@@ -460,15 +466,15 @@
             actions.append(HeartbeatConfirmed(answer.sequence, confirmed))
         return actions
 
-    # --- taking
+    # --- applying state
 
-    def _adopt(self, now: int) -> list[ObserverAction]:
-        """The other history is confirmed with its quorum: it is the one that is followed from now on."""
-        held, self._held = self._held, None
-        assert held is not None
+    def _adopt_history(self, now: int) -> list[ObserverAction]:
+        """Switch to the buffered history, now that its quorum has confirmed it."""
+        unconfirmed, self._unconfirmed = self._unconfirmed, None
+        assert unconfirmed is not None
         self.policy.begin_history()
-        actions = self._load(held.snapshot, now)
-        for delta in held.deltas:
+        actions = self._load(unconfirmed.snapshot, now)
+        for delta in unconfirmed.deltas:
             actions += self._apply(delta, now)
         return actions
 
@@ -487,10 +493,10 @@
     def _apply(self, delta: Delta, now: int) -> list[ObserverAction]:
         change = delta.WhichOneof("change")
         if change is None:
-            raise FrameUnexpectedError(f"change {delta.number} is of a kind that is not known here")
+            raise FrameUnexpectedError(f"change {delta.number} is of an unknown kind")
         small = not self._pending and len(delta.nodes.nodes) <= NODES_IN_CHUNK
         if change == "nodes" and not self._relay:
-            self._pending.add(delta.nodes)  # first, for it may refuse
+            self._pending.add(delta.nodes)  # first, because it may raise
         self.position = LogPosition(self.position.history, delta.number)
         if self._relay:
             return [ChangeReceived(delta.number, delta)]
@@ -500,13 +506,13 @@
             case "activated":
                 self.policy.version_activated(delta.activated)
             case "nodes":
-                return self._take_piece() if small else []
+                return self._next_piece() if small else []
         return self._take_policy()
 
     def _take_policy(self) -> list[ObserverAction]:
         version = self.policy.next_version()
         return [TakePolicy(version)] if version is not None else []
 
-    def _take_piece(self) -> list[ObserverAction]:
+    def _next_piece(self) -> list[ObserverAction]:
         taken = self._pending.take()
         return [taken] if taken is not None else []
--- a/stackrouter/controlplane/pending_nodes.py
+++ b/stackrouter/controlplane/pending_nodes.py
@@ -1,4 +1,4 @@
-"""Changes of the list of nodes that were received and are handed on in pieces. No I/O, no clock."""
+"""Queue of received changes to the list of nodes, delivered in pieces. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 from stackrouter.controlplane.snapshot import NODES_IN_CHUNK, ReceivedSnapshot
 from stackrouter.errors import StreamGapError
 
-MOST_NODES_PENDING = 60_000
-MOST_CHANGES_PENDING = 4096
+MAX_PENDING_NODES = 60_000
+MAX_PENDING_CHANGES = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class TakeNodes:
-    """A piece of a change of the list. `index`: discovery's version; `whole`: with `last`, all nodes that no
-    piece since `first` named are gone. A piece with `first` begins anew what was not finished."""
+    """A piece of a change to the list. `index`: discovery's version of the list; `whole`: with the `last`
+    piece, all nodes not named since the `first` piece are removed. A `first` piece discards an unfinished
+    change."""
 
     index: int
     whole: bool
@@ -41,7 +42,7 @@
 
     @property
     def nodes(self) -> int:
-        """How many there are; of a snapshot, at most."""
+        """The number of nodes; an upper bound for a snapshot."""
         if isinstance(self.source, ReceivedSnapshot):
             return len(self.source.node_chunks) * NODES_IN_CHUNK
         return len(self.source.nodes)
@@ -57,7 +58,7 @@
 
 
 class PendingNodes:
-    """The changes in their order. Each `take` gives one piece of at most 128 nodes."""
+    """The queued changes, in order. Each `take` returns one piece of at most 128 nodes."""
 
     def __init__(self) -> None:
         self._changes: deque[_Change] = deque()
@@ -67,18 +68,15 @@
         return bool(self._changes)
 
     def replace(self, snapshot: ReceivedSnapshot) -> None:
-        """A whole list came, in place of all that was not handed on yet."""
+        """Queue a whole list, instead of everything not delivered yet."""
         self._changes.clear()
         self._nodes = 0
         self._append(_Change(snapshot.nodes_index, True, snapshot))
 
     def add(self, changes: NodeChanges) -> None:
-        """The next change came. Raises StreamGapError where too much waits: nothing of it is kept then."""
-        if (
-            self._nodes + len(changes.nodes) > MOST_NODES_PENDING
-            or len(self._changes) >= MOST_CHANGES_PENDING
-        ):
-            raise StreamGapError("changes of the list come faster than they can be taken")
+        """Queue the next change. Raises StreamGapError, and queues nothing, if too much is pending."""
+        if self._nodes + len(changes.nodes) > MAX_PENDING_NODES or len(self._changes) >= MAX_PENDING_CHANGES:
+            raise StreamGapError("changes to the list arrive faster than they are processed")
         self._append(_Change(changes.index, changes.whole, changes))
 
     def take(self) -> TakeNodes | None:
--- a/stackrouter/controlplane/process.py
+++ b/stackrouter/controlplane/process.py
@@ -1,7 +1,8 @@
-"""One control replica's process: `python -m stackrouter.controlplane.process FILE`.
+"""The process of a control replica: `python -m stackrouter.controlplane.process FILE`.
 
-A voting replica is a member of the Raft group that asks discovery in its turn; it has no engine and takes no
-requests. One that does not vote observes the others. Both serve gateways, and operators by an admin socket.
+A voting replica is a member of the Raft group, whose members query discovery in turn; it has no engine and
+serves no requests. A non-voting replica observes the others. Both serve gateways, and operators through an
+admin socket.
 """
 
 from __future__ import annotations
@@ -58,75 +59,75 @@
 logger = logging.getLogger(__name__)
 
 EXIT_CONFIG = 2
-LEAVE_S = 1.0  # after SIGTERM: for connections to read why they end
-LEAVE_STEP_S = 0.02
-HISTORY_EVERY_S = 0.5
-MOST_UNKNOWN = 512  # a replica's gateways that come back within a second, from regions 100 ms away and more
-GC_THRESHOLD = 10_000  # objects between collections: few are left in cycles, and looking costs
+SHUTDOWN_TIMEOUT_S = 1.0  # after SIGTERM: time for peers to read why their connections end
+SHUTDOWN_POLL_S = 0.02
+HISTORY_RETRY_S = 0.5
+MAX_UNIDENTIFIED = 512  # gateways reconnecting within a second, from regions 100 ms away and more
+GC_THRESHOLD = 10_000  # allocations between collections: few objects are in cycles, and collections cost time
 
 
-def limits_of(configured: ConfiguredLimits) -> ReplicaLimits:
-    """The state machine's limits, out of the operator's file."""
+def replica_limits(configured: ConfiguredLimits) -> ReplicaLimits:
+    """Convert the limits in the operator's file to those of the state machine."""
     return ReplicaLimits(
         most_gateways=configured.gateways,
-        most_unknown=MOST_UNKNOWN,
+        most_unknown=MAX_UNIDENTIFIED,
         most_queued_bytes=configured.queued_kb * 1024,
         snapshots_at_once=configured.snapshots,
         snapshot_bytes_s=configured.snapshot_kb_s * 1024,
-        most_log_entries=configured.deltas,
+        max_log_entries=configured.deltas,
         most_log_bytes=configured.deltas_kb * 1024,
         barrier_interval_us=configured.barrier_interval_ms * 1000,
     )
 
 
 class ControlReplica:
-    """What both kinds of replica have: the listener, the admin socket, figures."""
+    """Common parts of both kinds of replica: listener, admin socket, figures."""
 
     role = ""
 
     def __init__(self, name: str, control: Control, source: Source) -> None:
         self.name, self.counters = name, Counters()
-        self.machine = ReplicaStateMachine(name, limits_of(control.limits))
+        self.machine = ReplicaStateMachine(name, replica_limits(control.limits))
         self.server = ControlServer(
             self.machine, address_of(control.listen, "control.listen"), boottime_us, self.counters,
             source.start_barrier, source.reload_state,
         )  # fmt: skip
         self.admin = Admin(address_of(control.admin, "control.admin"), self.answer)
         self._lateness = Lateness()
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
         self._terminated = Flag()
 
     def start(self) -> None:
-        """Serve."""
+        """Start serving gateways."""
         self.server.start()
         self._lateness.start()
 
     def terminate(self) -> None:
-        """Let `run` return."""
+        """Make `run` return."""
         self._terminated.set()
 
     def run(self) -> None:
-        """Returns after `terminate`, once the connections have ended or had time to."""
+        """Run until `terminate`, then shut down; waits up to the shutdown timeout for connections to end."""
         self._terminated.wait()
         self.leave()
         self.server.stop()
-        until = time.monotonic() + LEAVE_S
+        until = time.monotonic() + SHUTDOWN_TIMEOUT_S
         while not self.server.idle() and time.monotonic() < until:
-            gevent.sleep(LEAVE_STEP_S)
+            gevent.sleep(SHUTDOWN_POLL_S)
         self.close()
 
     def leave(self) -> None:
-        """Give back what others can take over at once."""
+        """Release what other replicas can take over immediately."""
 
     def close(self) -> None:
-        """End what does not end by itself."""
+        """Stop what does not end by itself."""
 
     def print_counters(self) -> None:
-        """On standard error, as one line of JSON."""
+        """Print the counters to standard error, as one line of JSON."""
         print(self.counters.line(), file=sys.stderr, flush=True)
 
     def answer(self, call: str) -> str:
-        """The admin socket: `status`, `control status`, `policy ...`."""
+        """Answer a call on the admin socket: `status`, `control status`, `policy ...`."""
         if call == "status":
             if self._terminated.is_set():
                 return f"FAILURE {StoppingError('stopping').coded()}"
@@ -140,15 +141,15 @@
         return f"FAILURE {DoorCallError(f'{call[:40]!r}: not a call of a control replica').coded()}"
 
     def policy_call(self, call: str) -> str:
-        """The answer to `policy ...`."""
+        """Answer a `policy ...` call."""
         return f"FAILURE {NoPolicyError('this replica does not vote: ask one that does').coded()}"
 
     def leader(self) -> tuple[str, int]:
-        """Who leads the group, and in which term, as far as known here."""
+        """The leader and the term of the group, as known here."""
         return "", 0
 
     def log_entries(self) -> int:
-        """Applied entries of the group's log."""
+        """Number of applied entries of the group's log."""
         return 0
 
     def status(self) -> ControlStatus:
@@ -164,7 +165,7 @@
             heartbeats=counts.heartbeats, answers=counts.answers, snapshots=counts.snapshots,
             snapshots_waiting=report.snapshots_waiting, resumed=counts.resumed, rejected=counts.rejected,
             barriers=counts.barriers_started, barriers_failed=counts.barriers_failed, changes=counts.changes,
-            log_entries=self.log_entries(), uptime_s=round(time.monotonic() - self._began, 1),
+            log_entries=self.log_entries(), uptime_s=round(time.monotonic() - self._started_at, 1),
             cpu_ms=cpu_ms(), rss_mib=rss_mib(), late_ms=self._lateness.percentile_ms(1.0),
             late_ms_p99=self._lateness.percentile_ms(0.99),
         )  # fmt: skip
@@ -187,9 +188,9 @@
             name, self._store, timing(coordination, position, members), coordination.stale_ms * 1000,
             self.counters, duties=(WATCH,),
         )  # fmt: skip
-        self._member.subscribe(self._source.heard)
+        self._member.subscribe(self._source.handle_event)
         self._member.keep_policy(policy_rules(coordination), self._take_policy)
-        self._calls = PolicyCalls(
+        self._policy_calls = PolicyCalls(
             self._member, coordination.policy.after_ms * 1000, self._check_policy, self._store.reports
         )
         self._discovery = Discovery(
@@ -212,7 +213,7 @@
         self._member.close()
 
     def policy_call(self, call: str) -> str:
-        return self._calls.answer(call)
+        return self._policy_calls.answer(call)
 
     def leader(self) -> tuple[str, int]:
         return self._member.term.leader, self._member.term.term
@@ -221,11 +222,11 @@
         return self._store.applied()
 
     def _take_policy(self, body: str) -> None:
-        """No request is served here: the version counts as taken."""
+        """Accept any version: no requests are served here."""
 
     def _check_policy(self, body: str) -> None:
-        """A ConfigError: gateways cannot take it. Where GW_CONFIG names a gateway's file, it is checked
-        against that; else against the newest version."""
+        """Validate a proposed policy. Raises ConfigError if gateways could not apply it. Checks against
+        the gateway's file that GW_CONFIG names, if any, else against the newest version."""
         if os.environ.get("GW_CONFIG"):
             with_policy(body)
             return
@@ -233,15 +234,15 @@
         check_policy(body, policies[-1].body if policies else "")
 
     def _begin_history(self) -> None:
-        """A new group has none until its leader has set one."""
+        """Propose a history until the group has one: a new group has none until its leader sets it."""
         while not self.machine.position.history:
             if self._member.term.leader == self.name:
                 self._source.begin_history()
-            gevent.sleep(HISTORY_EVERY_S)
+            gevent.sleep(HISTORY_RETRY_S)
 
 
 class ObservingReplica(ControlReplica):
-    """A replica that does not vote, and passes on what it observes at another."""
+    """A non-voting replica, which forwards the state that it observes at another replica."""
 
     role = "observer"
 
@@ -264,8 +265,8 @@
         self._client.stop()
 
 
-def replica_of(edge: Edge, file: str) -> ControlReplica:
-    """The replica that the operator's file describes. A ConfigError: it describes none."""
+def create_replica(edge: Edge, file: str) -> ControlReplica:
+    """Create the replica that the operator's file describes. Raises ConfigError if it describes none."""
     control, coordination = edge.control, edge.coordination
     if control.enabled or not control.listen:
         what = "must be set for a replica, and control.enabled must not be"
@@ -279,32 +280,32 @@
 
 def main(file: str) -> int:
     """Run until SIGTERM or SIGINT."""
-    early: list[int] = []  # what is told during the start is carried out after it
+    early_signals: list[int] = []  # signals received during the start are handled after it
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda told, _: early.append(told))
+        signal.signal(number, lambda received, _: early_signals.append(received))
     log.start()
     try:
         edge = load_apart(Path(file))
         if edge.log.format != "plain":
             log.start(edge.log.format, edge.control.name or edge.coordination.member)
-        replica = replica_of(edge, file)
+        replica = create_replica(edge, file)
     except ImportError as error:
-        wrong: StackrouterError = MissingExtraError(
+        failure: StackrouterError = MissingExtraError(
             f"needs {error.name}: install stackrouter[coord]", file=file
         )
-        print(f"stackrouter: {wrong.whole()}", file=sys.stderr)
+        print(f"stackrouter: {failure.whole()}", file=sys.stderr)
         return EXIT_CONFIG
     except (StackrouterError, OSError) as error:
-        wrong = error if isinstance(error, StackrouterError) else StartSystemError(error)
-        print(f"stackrouter: {wrong.whole()}", file=sys.stderr)
+        failure = error if isinstance(error, StackrouterError) else StartSystemError(error)
+        print(f"stackrouter: {failure.whole()}", file=sys.stderr)
         return EXIT_CONFIG
     _on_signal(signal.SIGTERM, replica.terminate)
     _on_signal(signal.SIGINT, replica.terminate)
     _on_signal(signal.SIGUSR1, replica.print_counters)
-    if early:
+    if early_signals:
         replica.terminate()
     replica.start()
-    gc.freeze()  # what is loaded now stays: a collection need not look at it
+    gc.freeze()  # objects loaded so far stay alive: exclude them from collections
     gc.set_threshold(GC_THRESHOLD)
     logger.info(
         "control replica %s (%s) listening on %s:%d", replica.name, replica.role, *replica.server.address
@@ -314,8 +315,8 @@
     return 0
 
 
-def _on_signal(number: signal.Signals, do: Callable[[], None]) -> None:
-    gevent.signal_handler(number, do)
+def _on_signal(number: signal.Signals, handler: Callable[[], None]) -> None:
+    gevent.signal_handler(number, handler)
 
 
 if __name__ == "__main__":
--- a/stackrouter/controlplane/routing.py
+++ b/stackrouter/controlplane/routing.py
@@ -1,4 +1,5 @@
-"""Which replica a gateway asks, and when it tries again. No I/O, no clock; randomness is passed in."""
+"""Order in which a gateway tries replicas, and the delay between attempts. No I/O, no clock; randomness is
+passed in."""
 
 from __future__ import annotations
 
@@ -7,12 +8,12 @@
 from hashlib import blake2b
 from random import Random
 
-MOST_DOUBLINGS = 16
+MAX_DOUBLINGS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaAddress:
-    """A control replica as gateways reach it. `address`: HOST:PORT."""
+    """A control replica and the address for gateways. `address`: HOST:PORT."""
 
     name: str
     address: str
@@ -20,8 +21,8 @@
 
 
 def replica_order(gateway: str, region: str, replicas: Iterable[ReplicaAddress]) -> list[ReplicaAddress]:
-    """The replicas in the order in which this gateway tries them: those of its own region first, each part by
-    rendezvous hashing, so that the gateways of a lost replica spread evenly over the others."""
+    """The replicas in the order in which a gateway tries them: its own region first, then the others,
+    each group by rendezvous hashing, so that the gateways of a lost replica spread evenly over the rest."""
     return sorted(replicas, key=lambda replica: (replica.region != region, _score(gateway, replica.name)))
 
 
@@ -31,18 +32,18 @@
 
 class Backoff:
     """Exponential backoff with full jitter: each delay is drawn evenly between 0 and a bound that doubles
-    with every failure, up to `most_us`."""
+    with every failure, up to `max_us`."""
 
-    def __init__(self, base_us: int, most_us: int, rng: Random) -> None:
-        self._base_us, self._most_us, self._rng = base_us, most_us, rng
+    def __init__(self, base_us: int, max_us: int, rng: Random) -> None:
+        self._base_us, self._max_us, self._rng = base_us, max_us, rng
         self._failures = 0
 
     def next_delay_us(self) -> int:
-        """How long to wait before the next attempt, after one more failure."""
-        bound = min(self._most_us, self._base_us << self._failures)
-        self._failures = min(self._failures + 1, MOST_DOUBLINGS)
+        """The delay before the next attempt, after one more failure."""
+        bound = min(self._max_us, self._base_us << self._failures)
+        self._failures = min(self._failures + 1, MAX_DOUBLINGS)
         return int(self._rng.uniform(0, bound))
 
     def reset(self) -> None:
-        """A connection has stayed good: the next failure is a first one."""
+        """Start again from the base delay, after a connection was stable."""
         self._failures = 0
--- a/stackrouter/controlplane/serving.py
+++ b/stackrouter/controlplane/serving.py
@@ -1,4 +1,4 @@
-"""Who serves under which version of the policy, as counts and the names of those behind. No I/O."""
+"""Counts gateways by the policy version they serve under, and names those behind. No I/O."""
 
 from __future__ import annotations
 
@@ -10,48 +10,48 @@
 
 
 class ServingCounts:
-    """Of a replica's gateways. What a heartbeat costs does not depend on how many there are."""
+    """Counts over the gateways of one replica. The cost of a heartbeat does not depend on their number."""
 
     def __init__(self) -> None:
-        self._versions: dict[str, int] = {}  # by gateway
-        self._gateways: Counter[int] = Counter()  # by version
+        self._version_of: dict[str, int] = {}  # by gateway
+        self._count_by_version: Counter[int] = Counter()  # by version
         self._behind: dict[str, None] = {}
         self._active = 0
-        self._relayed: dict[str, ServingReport] = {}  # by replica that observes
+        self._relayed: dict[str, ServingReport] = {}  # by observing replica
 
     def activated(self, active: int) -> None:
-        """This is the active version now: look at all gateways once."""
+        """Set the active version, and find all gateways behind it."""
         self._active = active
-        self._behind = {name: None for name, version in self._versions.items() if version < active}
+        self._behind = {name: None for name, version in self._version_of.items() if version < active}
 
-    def serves(self, gateway: str, version: int) -> None:
-        """A gateway serves under this version now."""
+    def set_serving(self, gateway: str, version: int) -> None:
+        """Record the version that a gateway serves under."""
         self.forget(gateway)
-        self._versions[gateway] = version
-        self._gateways[version] += 1
+        self._version_of[gateway] = version
+        self._count_by_version[version] += 1
         if version < self._active:
             self._behind[gateway] = None
 
-    def relays(self, replica: str, report: ServingReport) -> None:
-        """A replica that observes tells what its own gateways serve under."""
+    def set_relayed(self, replica: str, report: ServingReport) -> None:
+        """Record the report of an observing replica on its own gateways."""
         self._relayed[replica] = report
 
     def forget(self, gateway: str) -> None:
-        """A gateway, or a replica that observes, has gone."""
+        """Remove a gateway or an observing replica that disconnected."""
         self._relayed.pop(gateway, None)
-        version = self._versions.pop(gateway, None)
+        version = self._version_of.pop(gateway, None)
         if version is None:
             return
         self._behind.pop(gateway, None)
-        self._gateways[version] -= 1
-        if not self._gateways[version]:
-            del self._gateways[version]
+        self._count_by_version[version] -= 1
+        if not self._count_by_version[version]:
+            del self._count_by_version[version]
 
     def report(self, connected: int) -> ServingReport:
-        """The versions that the most serve under, and some of those behind; both bounded. With the gateways
-        of replicas that observe here. `connected`: gateways and such replicas, also those that have not
-        said what they serve under."""
-        counts, relayed = self._gateways, self._relayed.values()
+        """Gateway counts of the most used versions, and some names of gateways behind; both bounded. Includes
+        the gateways of observing replicas connected here. `connected`: the number of connected gateways and
+        observing replicas, including those that have not reported a version yet."""
+        counts, relayed = self._count_by_version, self._relayed.values()
         if relayed:
             counts = counts.copy()
             for report in relayed:
--- a/stackrouter/controlplane/snapshot.py
+++ b/stackrouter/controlplane/snapshot.py
@@ -1,7 +1,7 @@
-"""The state that a replica passes on, and its snapshots: in parts, compressed, made once for all readers.
+"""The replicated state, and its snapshots: compressed parts, encoded once for all readers.
 
-No I/O. A part is encoded when the first reader comes to it, so that making a snapshot of a long list holds
-nobody up. A gateway keeps the parts compressed until all have come, and reads one after the other.
+No I/O. A part is encoded when the first reader needs it, so that creating a snapshot of a long list does not
+block. A gateway keeps the parts compressed until all are received, and decodes them one by one.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 from stackrouter.errors import SnapshotRefusedError
 
 NODES_IN_CHUNK = 128
-MOST_CHUNK_BYTES = 1024 * 1024  # uncompressed: a policy of 256 KiB, or 128 nodes
-MOST_SNAPSHOT_BYTES = 16 * 1024 * 1024  # compressed, all parts
-MOST_PARTS = 1 + MOST_VERSIONS + MOST_NODES // NODES_IN_CHUNK + 1
-LEVEL = 3
+MAX_CHUNK_BYTES = 1024 * 1024  # uncompressed: a policy of 256 KiB, or 128 nodes
+MAX_SNAPSHOT_BYTES = 16 * 1024 * 1024  # compressed, all parts
+MAX_PARTS = 1 + MOST_VERSIONS + MOST_NODES // NODES_IN_CHUNK + 1
+COMPRESSION_LEVEL = 3
 NO_LIST = -1
 
 
 @dataclass(slots=True)
 class ReplicatedState:
-    """What gateways have to know as of `position`. `nodes`: by name, without those that were removed;
-    `nodes_index`: discovery's version of the list, -1: there is no list."""
+    """The state replicated to gateways, as of `position`. `nodes`: by name, without removed nodes;
+    `nodes_index`: discovery's version of the list, -1: no list."""
 
     position: LogPosition
     policies: list[Version]
@@ -47,12 +47,12 @@
 
     @classmethod
     def of(cls, state: LedgerState) -> ReplicatedState:
-        """The state of a voter's ledger."""
+        """Convert the state of a voter's ledger."""
         nodes = {item["name"]: node_message(item) for item in state.nodes if item["status"] != REMOVED}
         return cls(state.position, list(state.policies), state.active, state.nodes_index, nodes)
 
     def apply(self, delta: Delta) -> None:
-        """Take the next change."""
+        """Apply the next change."""
         match delta.WhichOneof("change"):
             case "committed":
                 self.policies = retained([*self.policies, version_from(delta.committed)], self.active)
@@ -63,8 +63,8 @@
         self.position = LogPosition(self.position.history, delta.number)
 
     def narrowed(self, delta: Delta) -> Delta:
-        """The same change as one that names only the nodes that it changes. A whole list whose index went
-        back (discovery has begun anew) stays whole."""
+        """The same change, reduced to the nodes that differ. A whole list whose index is lower than before
+        (discovery has started again) stays whole."""
         changes = delta.nodes
         if delta.WhichOneof("change") != "nodes" or not changes.whole or changes.index < self.nodes_index:
             return delta
@@ -85,24 +85,24 @@
 
 
 class Snapshot:
-    """The state as of one position, as encoded SnapshotPart frames."""
+    """The state as of one position, in encoded SnapshotPart frames."""
 
     def __init__(self, state: ReplicatedState) -> None:
         self.position = state.position
         self._policies = tuple(state.policies)
         self._active, self._index = state.active, state.nodes_index
-        self._nodes = tuple(state.nodes.values())  # entries are replaced by changes, never written to
-        self._chunks_of_nodes = -(-len(self._nodes) // NODES_IN_CHUNK)
+        self._nodes = tuple(state.nodes.values())  # changes replace entries and never modify them
+        self._node_chunk_count = -(-len(self._nodes) // NODES_IN_CHUNK)
         self._encoded: dict[int, bytes] = {}
-        self._compressor = zstandard.ZstdCompressor(level=LEVEL)
+        self._compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL)
 
     @property
     def parts(self) -> int:
-        """How many parts there are: the head, one a version of the policy, one for each 128 nodes."""
-        return 1 + len(self._policies) + self._chunks_of_nodes
+        """The number of parts: the head, one per policy version, and one per 128 nodes."""
+        return 1 + len(self._policies) + self._node_chunk_count
 
     def frame(self, part: int) -> bytes:
-        """One part as an encoded frame; encoded once."""
+        """One part as an encoded frame, cached."""
         if part not in self._encoded:
             data = self._compressor.compress(self._chunk(part).SerializeToString())
             position = position_message(self.position)
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedSnapshot:
-    """A snapshot that came whole. The nodes stay compressed, in pieces, until they are read."""
+    """A completely received snapshot. The nodes stay compressed, in chunks, until they are read."""
 
     position: LogPosition
     policies: tuple[Version, ...]
@@ -130,58 +130,58 @@
     node_chunks: tuple[bytes, ...]
 
     def nodes(self, chunk: int) -> list[Node]:
-        """The nodes of one piece."""
+        """The nodes of one chunk."""
         return list(_read_chunk(self.node_chunks[chunk]).nodes)
 
     def state(self) -> ReplicatedState:
-        """All of it at once, for a replica that passes it on."""
-        pieces = range(len(self.node_chunks))
-        nodes = {node.name: node for piece in pieces for node in self.nodes(piece)}
+        """The whole state, for an observing replica."""
+        chunks = range(len(self.node_chunks))
+        nodes = {node.name: node for chunk in chunks for node in self.nodes(chunk)}
         return ReplicatedState(self.position, list(self.policies), self.active, self.nodes_index, nodes)
 
 
 class SnapshotAssembler:
-    """Puts the parts of one snapshot together. A first part begins anew; any other has to follow the last."""
+    """Assembles a snapshot from its parts. Part 0 starts a new one; others must follow the previous part."""
 
-    def __init__(self, most_bytes: int = MOST_SNAPSHOT_BYTES) -> None:
-        self._most_bytes = most_bytes
-        self._begin(LogPosition(), 0)
+    def __init__(self, max_bytes: int = MAX_SNAPSHOT_BYTES) -> None:
+        self._max_bytes = max_bytes
+        self._reset(LogPosition(), 0)
 
     @property
-    def under_way(self) -> bool:
-        """Whether some parts have come and not all."""
+    def in_progress(self) -> bool:
+        """Whether some, but not all, parts have been received."""
         return self._next > 0
 
     def add(self, part: SnapshotPart) -> ReceivedSnapshot | None:
-        """Take the next part; the snapshot once it is whole. Raises SnapshotRefusedError."""
+        """Add the next part; returns the snapshot once it is complete. Raises SnapshotRefusedError."""
         position = position_from(part.position)
         if part.part == 0:
-            if not 0 < part.parts <= MOST_PARTS:
+            if not 0 < part.parts <= MAX_PARTS:
                 raise SnapshotRefusedError(
-                    f"a snapshot of {part.parts} parts, at most {MOST_PARTS} are taken"
+                    f"a snapshot of {part.parts} parts, at most {MAX_PARTS} are allowed"
                 )
-            self._begin(position, part.parts)
+            self._reset(position, part.parts)
         elif (position, part.part, part.parts) != (self._position, self._next, self._parts):
             expected = f"part {self._next} of {self._parts} of {self._position.number}"
             raise SnapshotRefusedError(
-                f"part {part.part} of {part.parts} of {position.number} came in place of {expected}"
+                f"part {part.part} of {part.parts} of {position.number} was received instead of {expected}"
             )
-        self._take(part.part, part.data)
+        self._add_chunk(part.part, part.data)
         self._next += 1
-        return self._finished() if self._next == self._parts else None
+        return self._complete() if self._next == self._parts else None
 
-    def _begin(self, position: LogPosition, parts: int) -> None:
+    def _reset(self, position: LogPosition, parts: int) -> None:
         self._position, self._parts, self._next = position, parts, 0
         self._active, self._index = 0, NO_LIST
         self._policies: list[Version] = []
         self._node_chunks: list[bytes] = []
         self._bytes = self._nodes = 0
 
-    def _take(self, part: int, data: bytes) -> None:
-        """Read a part to see that it can be read; its nodes are kept compressed."""
+    def _add_chunk(self, part: int, data: bytes) -> None:
+        """Validate a part by decoding it; its nodes are kept compressed."""
         self._bytes += len(data)
-        if self._bytes > self._most_bytes:
-            raise SnapshotRefusedError(f"a snapshot of more than {self._most_bytes} compressed bytes")
+        if self._bytes > self._max_bytes:
+            raise SnapshotRefusedError(f"a snapshot of more than {self._max_bytes} compressed bytes")
         chunk = _read_chunk(data)
         if part == 0:
             self._active, self._index = chunk.active, chunk.nodes_index
@@ -194,24 +194,24 @@
         if self._nodes > MOST_NODES or len(self._policies) > MOST_VERSIONS:
             raise SnapshotRefusedError(
                 f"{self._nodes} nodes and {len(self._policies)} policies, at most {MOST_NODES} and"
-                f" {MOST_VERSIONS} are taken"
+                f" {MOST_VERSIONS} are allowed"
             )
 
-    def _finished(self) -> ReceivedSnapshot:
+    def _complete(self) -> ReceivedSnapshot:
         policies, chunks = tuple(self._policies), tuple(self._node_chunks)
         received = ReceivedSnapshot(self._position, policies, self._active, self._index, chunks)
-        self._begin(LogPosition(), 0)
+        self._reset(LogPosition(), 0)
         return received
 
 
 def _read_chunk(data: bytes) -> SnapshotChunk:
-    """A chunk out of its compressed form. What it will take is looked at before any of it is unpacked."""
+    """Decompress and parse a chunk. Its size is checked before it is decompressed."""
     try:
         size = zstandard.frame_content_size(data)
-        if not 0 <= size <= MOST_CHUNK_BYTES:
-            raise SnapshotRefusedError(f"a part of {size} bytes, at most {MOST_CHUNK_BYTES} are taken")
-        decompressor = zstandard.ZstdDecompressor(max_window_size=8 * MOST_CHUNK_BYTES)
-        plain = decompressor.decompress(data, max_output_size=MOST_CHUNK_BYTES, allow_extra_data=False)
-        return SnapshotChunk.FromString(plain)
+        if not 0 <= size <= MAX_CHUNK_BYTES:
+            raise SnapshotRefusedError(f"a part of {size} bytes, at most {MAX_CHUNK_BYTES} are allowed")
+        decompressor = zstandard.ZstdDecompressor(max_window_size=8 * MAX_CHUNK_BYTES)
+        decompressed = decompressor.decompress(data, max_output_size=MAX_CHUNK_BYTES, allow_extra_data=False)
+        return SnapshotChunk.FromString(decompressed)
     except (zstandard.ZstdError, DecodeError) as error:
-        raise SnapshotRefusedError(f"a part that cannot be read ({error})") from error
+        raise SnapshotRefusedError(f"a part that cannot be decoded ({error})") from error
--- a/stackrouter/controlplane/source.py
+++ b/stackrouter/controlplane/source.py
@@ -1,4 +1,4 @@
-"""Where a replica's state and the answers to its read barriers come from: the ledger, or another replica."""
+"""Sources of a replica's state and its barrier results: the ledger, or another replica."""
 
 from __future__ import annotations
 
@@ -30,36 +30,36 @@
 )
 from stackrouter.coord.raft import Raft
 
-MOST_BARRIERS = 16  # heartbeats to another replica that may still be answered
+MAX_PENDING_BARRIERS = 16  # outstanding heartbeats to another replica
 
 
 class Source(Protocol):
-    """What a `ControlServer` asks for; the answers go to its state machine."""
+    """Serves requests of a `ControlServer`; the results go to its state machine."""
 
     def start_barrier(self, barrier: int, report: ServingReport) -> None:
-        """Have it confirmed that the state here includes all that was committed before now."""
+        """Start a read barrier; its result confirms that the state includes everything committed before."""
 
     def reload_state(self) -> None:
-        """Have the whole state loaded."""
+        """Request the whole state."""
 
 
 class LedgerSource:
-    """A voting replica's source: what the ledger applies, and read barriers through the log."""
+    """Source of a voting replica: changes applied by the ledger, and read barriers through the log."""
 
     def __init__(self, name: str, store: Raft) -> None:
         self._name, self._store = name, store
         self.server: ControlServer | None = None
         self._history_missing = False
-        self._asked: tuple[int, int] | None = None  # number of the command under way, and its barrier
+        self._in_flight: tuple[int, int] | None = None  # number of the Barrier command, and its barrier
 
     def start_barrier(self, barrier: int, report: ServingReport) -> None:
-        self._asked = self._store.ask(Barrier(self._name, report)), barrier
+        self._in_flight = self._store.ask(Barrier(self._name, report)), barrier
 
     def reload_state(self) -> None:
         self._store.request_state()
 
-    def heard(self, event: Event) -> None:
-        """An event of the store, in order."""
+    def handle_event(self, event: Event) -> None:
+        """Handle an event of the store; events come in order."""
         server = self.server
         assert server is not None
         match event:
@@ -76,10 +76,10 @@
             case Answered():
                 self._answered(server, event)
             case TermSeen() if event.leader == self._name:
-                self._store.request_state()  # a group that has no history yet is given one by its leader
+                self._store.request_state()  # the leader gives a group without a history its identity
 
     def begin_history(self) -> None:
-        """Give the group's history its identity, if it has none; repeated until it has."""
+        """Propose an identity for the group's history if it has none; the caller repeats this."""
         if self._history_missing:
             self._store.ask(BeginHistory(self._name, uuid.uuid4().hex))
 
@@ -93,9 +93,9 @@
             server.call(server.machine.committed, number, delta_from(change))
 
     def _answered(self, server: ControlServer, event: Answered) -> None:
-        if self._asked is None or event.number != self._asked[0]:
+        if self._in_flight is None or event.number != self._in_flight[0]:
             return
-        barrier, self._asked = self._asked[1], None
+        barrier, self._in_flight = self._in_flight[1], None
         if event.accepted and event.position is not None:
             server.call(server.machine.barrier_confirmed, barrier, event.position)
         else:
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Asked:
+class _PendingBarrier:
     """A barrier, and the heartbeat to the other replica that confirms it."""
 
     barrier: int
@@ -111,7 +111,7 @@
 
 
 class NoSink:
-    """A replica serves no requests: nothing is taken."""
+    """A sink that ignores everything: a replica serves no requests."""
 
     def take_policy(self, body: str) -> None:
         """Nothing to do."""
@@ -121,13 +121,13 @@
 
 
 class ReplicaSource:
-    """A source for a replica that does not vote: what it observes at another replica, whose heartbeat answers
-    confirm the barriers here. A heartbeat is sent for each barrier, after it was started."""
+    """Source of a non-voting replica: the state it observes at another replica, whose heartbeat answers
+    confirm the barriers here. For each barrier a heartbeat is sent after the barrier was started."""
 
     def __init__(self) -> None:
         self.server: ControlServer | None = None
         self.client: ObserverClient | None = None
-        self._asked: deque[_Asked] = deque(maxlen=MOST_BARRIERS)
+        self._pending_barriers: deque[_PendingBarrier] = deque(maxlen=MAX_PENDING_BARRIERS)
         self._state: ReplicatedState | None = None
 
     def start_barrier(self, barrier: int, report: ServingReport) -> None:
@@ -135,12 +135,12 @@
         self.client.observer.relayed = report
         sequence = self.client.heartbeat()
         if sequence:
-            self._asked.append(_Asked(barrier, sequence))
+            self._pending_barriers.append(_PendingBarrier(barrier, sequence))
         else:
             self._fail_soon(barrier)
 
     def reload_state(self) -> None:
-        """Nothing is missed: the state came whole with the connection, which a gap would have ended."""
+        """Not needed: the connection delivers the whole state first, and a gap would have ended it."""
 
     def state_loaded(self, state: ReplicatedState) -> None:
         assert self.server is not None
@@ -153,17 +153,17 @@
     def heartbeat_confirmed(self, sequence: int, position: LogPosition) -> None:
         assert self.server is not None
         confirmed = 0
-        while self._asked and self._asked[0].sequence <= sequence:
-            confirmed = self._asked.popleft().barrier
+        while self._pending_barriers and self._pending_barriers[0].sequence <= sequence:
+            confirmed = self._pending_barriers.popleft().barrier
         if confirmed:
             self.server.call(self.server.machine.barrier_confirmed, confirmed, position)
 
     def disconnected(self) -> None:
-        if self._asked:
-            self._fail_soon(self._asked[-1].barrier)
-        self._asked.clear()
+        if self._pending_barriers:
+            self._fail_soon(self._pending_barriers[-1].barrier)
+        self._pending_barriers.clear()
 
     def _fail_soon(self, barrier: int) -> None:
-        """Not within the call that has started it: the state machine is still at it."""
+        """Report the failure later: the state machine has not returned from starting the barrier."""
         assert self.server is not None
         gevent.get_hub().loop.run_callback(self.server.call, self.server.machine.barrier_failed, barrier)
--- a/stackrouter/controlplane/status.py
+++ b/stackrouter/controlplane/status.py
@@ -1,4 +1,4 @@
-"""What replicas and gateways tell operators through their admin sockets."""
+"""Status reports of replicas and gateways on their admin sockets."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlStatus:
-    """What the admin socket answers to `control status`, as JSON. Counts are since the start; `serving`:
-    gateways by version; `behind`: some of those under an older version than the active one; `log_entries`:
-    applied entries of the group's log (0 in a replica that does not vote); `late_ms`: how late timers ran in
-    the last minute."""
+    """A replica's answer to `control status`, as JSON. Counts are since the start; `serving`: gateways by
+    version; `behind`: some of the gateways under an older version than the active one; `log_entries`: applied
+    entries of the group's log (0 in a non-voting replica); `late_ms`: how late timers ran in the last minute.
+    """
 
     replica: str
     role: str  # voter, observer
@@ -44,9 +44,8 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayStatus:
-    """What a gateway's admin socket answers to `control status`, as JSON. Counts are since the start;
-    `nodes_index`: discovery's version of the list that was last taken; `follows`: whether the list is taken
-    from the control plane now."""
+    """A gateway's answer to `control status`, as JSON. Counts are since the start; `nodes_index`: discovery's
+    version of the last list applied; `follows`: whether the list is taken from the control plane now."""
 
     gateway: str
     role: str  # gateway
--- a/tests/control_group.py
+++ b/tests/control_group.py
@@ -1,4 +1,4 @@
-"""A control plane on loopback for tests: replicas, gateways, links between the voters, raw connections."""
+"""Test rig of a control plane on loopback: replicas, gateways, links between voters, raw connections."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 import gevent
 from gevent import socket
 
-from stackrouter.controlplane.codec import MOST_TO_GATEWAY, FrameDecoder, encode
+from stackrouter.controlplane.codec import MAX_TO_GATEWAY_BYTES, FrameDecoder, encode
 from stackrouter.controlplane.frames_pb2 import Frame, Heartbeat, Hello
 from stackrouter.fleet.ports import Ports
 from stackrouter.fleet.proxy import Link
@@ -36,8 +36,8 @@
 
 
 class ControlGroup:
-    """Use as a context: all processes end on the way out. `voters` are c1, c2, ...; `l1` observes them;
-    gateways are g1, g2, ... with `on_loss` by name, "refuse" unless given."""
+    """Context manager that stops all processes on exit. Voters are c1, c2, ...; `l1` observes them; gateways
+    are g1, g2, ... with `on_loss` by name, "refuse" by default."""
 
     def __init__(self, folder: Path, voters: int, gateways: int, observer: bool = False,
                  on_loss: dict[str, str] | None = None) -> None:  # fmt: skip
@@ -58,11 +58,11 @@
         self._links: dict[tuple[str, str], Link] = {}
         for here, address in self._peers.items():
             for there, other in self._peers.items():
-                if address > other:  # the library connects from the higher address, as text, to the lower
+                if address > other:  # the library connects from the higher address (as text) to the lower
                     host, _, port = other.rpartition(":")
                     self._links[here, there] = Link((host, int(port)), Random(1))
         self.programs: dict[str, subprocess.Popen[bytes]] = {}
-        self._variants = 0
+        self._counter = 0
 
     def __enter__(self) -> ControlGroup:
         for name in [*self.replicas, *self.gateways]:
@@ -95,7 +95,7 @@
     # Processes.
 
     def start(self, name: str) -> None:
-        """Start a replica or a gateway, again where it was killed."""
+        """Start or restart a replica or a gateway."""
         environ = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
         file = self.folder / f"{name}.txtpb"
         file.write_text(self._gateway_file(name) if name in self.gateways else self._replica_file(name))
@@ -109,29 +109,29 @@
             self.programs[name] = subprocess.Popen(command, env=environ, stdout=log, stderr=log)
 
     def kill(self, name: str) -> None:
-        """As by `kill -9`."""
+        """Kill a process, as with `kill -9`."""
         self.programs[name].kill()
         self.programs[name].wait()
 
     def freeze(self, name: str, is_frozen: bool) -> None:
-        """Stop a process without ending it, or let it go on."""
+        """Pause a process with SIGSTOP, or resume it."""
         self.programs[name].send_signal(signal.SIGSTOP if is_frozen else signal.SIGCONT)
 
     def log(self, name: str) -> Path:
-        """What the process has said."""
+        """The log file of a process."""
         return self.folder / f"{name}.log"
 
     def cut_off(self, voter: str, is_cut: bool) -> None:
-        """Cut a voter off from the other voters, and from nobody else, or heal that."""
+        """Cut a voter off from the other voters only, or reconnect it."""
         for pair, link in self._links.items():
             if voter in pair:
                 link.there.cut(is_cut)
                 link.back.cut(is_cut)
 
-    # What they say.
+    # Calls to the processes.
 
     def call(self, name: str, line: str) -> str:
-        """An answer of the admin socket; empty: none."""
+        """Call the admin socket; empty: no answer."""
         try:
             with socket.create_connection(("127.0.0.1", self.admins[name]), timeout=CALL_S) as sock:
                 sock.sendall(line.encode() + b"\n")
@@ -140,17 +140,18 @@
             return ""
 
     def json(self, name: str, line: str) -> dict[str, Any]:
-        """The same, for calls that answer with JSON; empty: none."""
-        kind, _, told = self.call(name, line).partition(" ")
-        found: dict[str, Any] = json.loads(told) if kind == "SUCCESS" else {}
-        return found
+        """Call the admin socket and parse the JSON answer; empty: no answer or a failure."""
+        kind, _, answer = self.call(name, line).partition(" ")
+        parsed: dict[str, Any] = json.loads(answer) if kind == "SUCCESS" else {}
+        return parsed
 
     def control(self, name: str) -> dict[str, Any]:
-        """`control status` of a replica or a gateway."""
+        """Call `control status` of a replica or a gateway."""
         return self.json(name, "control status")
 
     def command(self, part: str, what: str, name: str) -> str:
-        """What a command of the CLI prints of this process. It runs beside: the links are in this process."""
+        """Output of a CLI command on this process. The command runs asynchronously, because the links run in
+        the test's own process."""
         door = f"127.0.0.1:{self.admins[name]}"
         line = [sys.executable, "-m", "stackrouter.cli.main", part, what, "--door", door]
         with subprocess.Popen(line, stdout=subprocess.PIPE, text=True) as program:
@@ -159,47 +160,48 @@
             return program.stdout.read()
 
     def leader(self) -> str:
-        """Who leads, by those who know; empty: nobody says."""
-        told = [self.control(name) for name in self.voters if self.programs[name].poll() is None]
-        return max(((t["term"], t["leader"]) for t in told if t), default=(0, ""))[1]
+        """The leader of the newest term reported by a running voter; empty: none reported."""
+        statuses = [self.control(name) for name in self.voters if self.programs[name].poll() is None]
+        return max(((s["term"], s["leader"]) for s in statuses if s), default=(0, ""))[1]
 
     def ready(self, name: str) -> bool:
         return self.call(name, "status").startswith("SUCCESS")
 
     def settle(self) -> None:
-        """Wait until all that run are ready."""
+        """Wait until all running processes are ready."""
         for name in self.programs:
             self.wait_for(partial(self.ready, name), f"{name} is not ready")
 
     def follow(self) -> None:
-        """Wait until all gateways are on the list of the control plane."""
+        """Wait until all gateways follow the list of the control plane."""
         self.wait_for(lambda: all(self.control(g)["follows"] for g in self.gateways), "a gateway asks itself")
 
-    def wait_for(self, so: Callable[[], Any], otherwise: str, within_s: float = WAIT_S) -> float:
-        """How long it took, in seconds. AssertionError: it did not come about."""
-        began = time.monotonic()
-        while not so():
-            if time.monotonic() - began > within_s:
-                raise AssertionError(f"{otherwise} within {within_s:g} s")
+    def wait_for(self, condition: Callable[[], Any], failure: str, within_s: float = WAIT_S) -> float:
+        """Wait for a condition; returns the time taken in seconds. Raises AssertionError after `within_s`."""
+        started_at = time.monotonic()
+        while not condition():
+            if time.monotonic() - started_at > within_s:
+                raise AssertionError(f"{failure} within {within_s:g} s")
             gevent.sleep(0.02)
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
-    # What is done to them.
+    # Operations on the group.
 
     def propose(self, voter: str) -> int:
-        """Commit another version of the policy; its number."""
-        self._variants += 1
-        told = {**settings(self.scene, self.usual)}
-        told["Caps"] = {**told["Caps"], "MaxOpen": 4000 + self._variants}
-        file = self.folder / f"policy-{self._variants}.json"
-        file.write_text(json.dumps({"settings": told}))
+        """Commit another version of the policy, and return its number."""
+        self._counter += 1
+        changed = {**settings(self.scene, self.usual)}
+        changed["Caps"] = {**changed["Caps"], "MaxOpen": 4000 + self._counter}
+        file = self.folder / f"policy-{self._counter}.json"
+        file.write_text(json.dumps({"settings": changed}))
         base = self.json(voter, "policy status")["version"]
         answer = self.call(voter, f"policy propose {base} {file}")
         assert answer.startswith("SUCCESS"), answer
         return int(base) + 1
 
     def request(self, gateway: str) -> bytes:
-        """What a client of this gateway is answered: the first byte says whether it was served."""
+        """Send a client's request to a gateway and return the answer, whose first byte tells whether it was
+        served."""
         fields = "c=match-read,t=basic,d=1500,volume=00000000b0000000,units=1,shard=0,hosts=1"
         with socket.create_connection(("127.0.0.1", self.listens[gateway]), timeout=CALL_S) as sock:
             sock.sendall(
@@ -208,23 +210,23 @@
             return bytes(sock.recv(4096))
 
     def _next_request(self) -> int:
-        self._variants += 1
-        return self._variants
+        self._counter += 1
+        return self._counter
 
-    def by_hand(self, replica: str) -> RawConnection:
-        """A connection by hand that has its snapshot. A replica that is not ready yet is asked again."""
+    def connect_raw(self, replica: str) -> RawConnection:
+        """Open a raw connection and receive its snapshot. Retries while the replica is not ready."""
         until = time.monotonic() + WAIT_S
         while time.monotonic() < until:
             raw = RawConnection(self.listens[replica])
-            raw.hello("by hand")
-            raw.read(is_live, CALL_S)
-            if any(is_live(frame) for frame in raw.frames):
+            raw.hello("raw")
+            raw.read(is_last_part, CALL_S)
+            if any(is_last_part(frame) for frame in raw.frames):
                 return raw
             raw.close()
             gevent.sleep(0.05)
         raise AssertionError(f"{replica} takes no connection within {WAIT_S:g} s")
 
-    # Their files.
+    # Configuration files.
 
     def _replica_list(self, names: list[str]) -> str:
         one = 'replica {{ name: "{0}" address: "127.0.0.1:{1}" region: "r{0}" }}'
@@ -269,18 +271,18 @@
         }  # fmt: skip
 
 
-def is_live(frame: Frame) -> bool:
-    """The last part of a snapshot: from here on changes follow."""
+def is_last_part(frame: Frame) -> bool:
+    """Whether this is the last part of a snapshot, after which changes follow."""
     part = frame.snapshot_part
     return bool(frame.HasField("snapshot_part") and part.part + 1 == part.parts)
 
 
 class RawConnection:
-    """Bytes to and frames from a replica, by hand."""
+    """A raw connection to a replica: sends bytes and receives frames."""
 
     def __init__(self, port: int) -> None:
         self._sock = socket.create_connection(("127.0.0.1", port), timeout=CALL_S)
-        self._decoder = FrameDecoder(MOST_TO_GATEWAY)
+        self._decoder = FrameDecoder(MAX_TO_GATEWAY_BYTES)
         self.frames: list[Frame] = []
         self.ended = False
 
@@ -294,7 +296,7 @@
         self.send(encode(Frame(heartbeat=Heartbeat(sequence=sequence))))
 
     def read(self, until: Callable[[Frame], bool], within_s: float) -> bool:
-        """Whether such a frame came in time, or the connection ended."""
+        """Receive until a frame matches or the connection ends; False after `within_s`."""
         deadline = time.monotonic() + within_s
         while not self.ended and (left_s := deadline - time.monotonic()) > 0:
             self._sock.settimeout(left_s)
--- a/tests/control_plane_world.py
+++ b/tests/control_plane_world.py
@@ -1,7 +1,8 @@
-"""A control plane in one process without I/O: a quorum, replicas, gateways with clocks of their own, faults.
+"""A simulated control plane without I/O: a quorum, replicas, gateways with their own clocks, and faults.
 
-Time is real time in microseconds; a gateway's clock runs at its own rate. Connections are FIFO: bytes arrive
-in order or, with the whole connection, never. `check` holds the invariants after each step.
+The world's time is true time in microseconds; each gateway's clock runs at its own rate. Connections are
+FIFO: bytes arrive in order, or are lost together with the connection. `check` asserts the invariants after
+each step.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from stackrouter.controlplane.codec import MOST_TO_GATEWAY, MOST_TO_REPLICA, FrameDecoder, encode
+from stackrouter.controlplane.codec import MAX_TO_GATEWAY_BYTES, MOST_TO_REPLICA, FrameDecoder, encode
 from stackrouter.controlplane.conversion import REMOVED, delta_from
 from stackrouter.controlplane.observer import (
     ChangeReceived,
@@ -57,40 +58,40 @@
 MS = 1000
 STEP_US = 25 * MS
 VALIDITY_US, MAX_DRIFT_US = 800 * MS, 80 * MS
-DRIFT = 0.1  # rates of clocks lie within 1 - DRIFT and 1 + DRIFT: 720 ms of the slowest are 800 ms
+DRIFT = 0.1  # clock rates lie between 1 - DRIFT and 1 + DRIFT: 720 ms on the slowest clock are 800 ms
 AFTER_US = 1200 * MS
 RULES = Rules(validity_us=VALIDITY_US, max_drift_us=MAX_DRIFT_US)
-LATENCY_US, SLOW_US = 10 * MS, 250 * MS  # at most, one way; of a slow gateway
+LATENCY_US, SLOW_US = 10 * MS, 250 * MS  # maximum one-way latency; of a slow gateway
 LIMITS = ReplicaLimits(
-    most_gateways=4, most_unknown=8, hello_within_us=200 * MS, silence_us=1000 * MS,
+    most_gateways=4, most_unknown=8, hello_timeout_us=200 * MS, silence_timeout_us=1000 * MS,
     barrier_interval_us=30 * MS, barrier_timeout_us=150 * MS, snapshots_at_once=1,
-    snapshot_bytes_s=100_000, snapshot_window_bytes=4000, snapshot_within_us=1000 * MS,
-    most_log_entries=4, most_resume_bytes=2000, most_delta_bytes=4000, retry_after_us=20 * MS,
+    snapshot_bytes_s=100_000, snapshot_window_bytes=4000, snapshot_timeout_us=1000 * MS,
+    max_log_entries=4, most_resume_bytes=2000, most_delta_bytes=4000, retry_after_us=20 * MS,
 )  # fmt: skip
 TIMES = ObserverTimes(
-    connect_within=300 * MS, welcome_within=600 * MS, silence=700 * MS, snapshot_within=2500 * MS,
-    good_after=500 * MS, backoff_base=10 * MS, backoff_most=60 * MS,
+    connect_timeout_us=300 * MS, welcome_timeout_us=600 * MS, silence=700 * MS, snapshot_timeout_us=2500 * MS,
+    stable_after_us=500 * MS, backoff_base=10 * MS, backoff_most=60 * MS,
 )  # fmt: skip
 VOTERS = ("r0", "r1", "r2")
-RELAY = "q"  # a replica without a vote, which observes a voter
+RELAY = "q"  # a non-voting replica, which observes a voter
 Nodes = dict[str, float]  # weight by name
 Change = PolicySeen | ActiveSeen | ListingSeen
 
 
-def settled(ledger: Ledger) -> Nodes:
-    """The nodes of a ledger, without those that were removed."""
+def current_nodes(ledger: Ledger) -> Nodes:
+    """The nodes of a ledger, without removed nodes."""
     items = ledger.listings.items.values()
     return {item["name"]: item["weight"] for item in items if item["status"] != REMOVED}
 
 
 @dataclass
 class History:
-    """The group from one beginning to the next: its log of commands and what they came to."""
+    """One history of the group: its log of commands and their effects."""
 
     order: int
-    begun_at: int
+    started_at: int
     ledger: Ledger = field(default_factory=Ledger)
-    log: list[tuple[Command, int]] = field(default_factory=list)  # with the replica's life that asked
+    log: list[tuple[Command, int]] = field(default_factory=list)  # with the submitter's `run_id`
     committed_at: list[tuple[int, int]] = field(default_factory=list)  # time, number
     activated_at: dict[int, int] = field(default_factory=dict)  # by version
     proposed_at: dict[int, int] = field(default_factory=dict)
@@ -101,13 +102,13 @@
     def identity(self) -> str:
         return f"history-{self.order}"
 
-    def commit(self, command: Command, now: int, asker: int = 0) -> str:
+    def commit(self, command: Command, now: int, submitter: int = 0) -> str:
         """The quorum commits a command."""
-        self.log.append((command, asker))
+        self.log.append((command, submitter))
         why, _ = self.ledger.apply(command)
         if not why and self.ledger.number not in self.nodes_at:
             self.committed_at.append((now, self.ledger.number))
-            self.nodes_at[self.ledger.number] = settled(self.ledger)
+            self.nodes_at[self.ledger.number] = current_nodes(self.ledger)
             match command:
                 case Propose():
                     self.proposed_at[self.ledger.version()] = now
@@ -116,13 +117,13 @@
         return why
 
     def number_at(self, time: int) -> int:
-        """The number of the last change that was committed by then."""
+        """The number of the last change committed by that time."""
         return max((number for at, number in self.committed_at if at <= time), default=0)
 
 
 @dataclass
 class Connection:
-    """Bytes under way between a gateway and a replica, each with the time at which it arrives."""
+    """Bytes in flight between a gateway and a replica, with their arrival times."""
 
     number: int
     gateway: Gateway
@@ -130,48 +131,48 @@
     up: deque[tuple[int, bytes]] = field(default_factory=deque)
     down: deque[tuple[int, bytes]] = field(default_factory=deque)
     to_replica: FrameDecoder = field(default_factory=lambda: FrameDecoder(MOST_TO_REPLICA))
-    to_gateway: FrameDecoder = field(default_factory=lambda: FrameDecoder(MOST_TO_GATEWAY))
+    to_gateway: FrameDecoder = field(default_factory=lambda: FrameDecoder(MAX_TO_GATEWAY_BYTES))
     accepted: bool = False
     stalled: bool = False
-    closing: bool = False  # the replica closed it: the gateway hears of that after what is under way
+    closing: bool = False  # closed by the replica; the gateway is notified after the bytes in flight
 
 
 class Replica:
-    """A replica's process: its own copy of the ledger, which outlives a restart, and its state machine."""
+    """A replica's process: its copy of the ledger, which survives restarts, and its state machine."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
         self.cut = False  # from the quorum
-        self.lagging = False  # it applies nothing
-        self.slow = False  # it hands in and applies some time later
-        self.lives = 0
+        self.lagging = False  # applies no commands
+        self.slow = False  # submits and applies commands with a delay
+        self.starts = 0
         self.join()
 
     def join(self) -> None:
-        """A member of the present history with nothing applied."""
+        """Join the current history with no command applied."""
         self.history = self.world.history
         self.ledger = Ledger()
         self.applied = 0  # entries of the log
         self.start()
 
     def start(self) -> None:
-        """The process starts (again): what was in memory is gone, the ledger is not."""
-        self.lives += 1
-        self.life = self.world.rng.getrandbits(60) | 1
+        """Start or restart the process: its memory is lost, the ledger is kept."""
+        self.starts += 1
+        self.run_id = self.world.rng.getrandbits(60) | 1
         self.machine = self.world.replica_class(f"{self.name}", LIMITS)
-        self.pending: list[Command] = []  # barriers on their way to the quorum
-        self.barriers: list[int] = []  # ids, in the order in which they were handed in
+        self.pending: list[Command] = []  # barriers not yet committed
+        self.barriers: list[int] = []  # ids, in order of submission
         self.state_wanted = False
         if self.ledger.history:
-            self.do(self.machine.loaded(ReplicatedState.of(self.ledger.state()), self.world.now))
+            self.carry_out(self.machine.loaded(ReplicatedState.of(self.ledger.state()), self.world.now))
 
     def step(self) -> None:
-        """Some time has passed."""
+        """Advance to the current time."""
         now = self.world.now
         rng = self.world.rng
         if not self.cut and not self.is_old() and not (self.slow and rng.random() < 0.5):
             for command in self.pending:
-                self.history.commit(command, now, self.life)
+                self.history.commit(command, now, self.run_id)
             self.pending = []
         if not self.cut and not self.lagging:
             newest = len(self.history.log)
@@ -179,9 +180,9 @@
             self.apply_to(upto)
         if self.state_wanted:
             self.state_wanted = False
-            self.do(self.machine.loaded(ReplicatedState.of(self.ledger.state()), now))
+            self.carry_out(self.machine.loaded(ReplicatedState.of(self.ledger.state()), now))
         if now >= self.machine.next_at():
-            self.do(self.machine.tick(now))
+            self.carry_out(self.machine.tick(now))
 
     def apply_to(self, entry: int) -> None:
         """Apply the log up to this entry."""
@@ -191,30 +192,30 @@
     def is_old(self) -> bool:
         return self.history is not self.world.history
 
-    def apply(self, command: Command, asker: int) -> None:
+    def apply(self, command: Command, submitter: int) -> None:
         now = self.world.now
         self.applied += 1
         _, events = self.ledger.apply(command)
         for event in events:
             if isinstance(event, PolicySeen | ActiveSeen | ListingSeen):
-                self.do(self.machine.committed(self.ledger.number, delta_from(event), now))
-        if isinstance(command, Barrier) and asker == self.life:
+                self.carry_out(self.machine.committed(self.ledger.number, delta_from(event), now))
+        if isinstance(command, Barrier) and submitter == self.run_id:
             barrier = self.barriers.pop(0)
-            self.do(self.machine.barrier_confirmed(barrier, self.ledger.position(), now))
-            if self.world.rng.random() < 0.1:  # an answer that comes twice says nothing new
-                self.do(self.machine.barrier_confirmed(barrier, self.ledger.position(), now))
+            self.carry_out(self.machine.barrier_confirmed(barrier, self.ledger.position(), now))
+            if self.world.rng.random() < 0.1:  # a duplicate answer has no effect
+                self.carry_out(self.machine.barrier_confirmed(barrier, self.ledger.position(), now))
 
-    def jump(self) -> None:
-        """A snapshot of the library comes in place of commands."""
+    def install_library_snapshot(self) -> None:
+        """Replace the ledger by a snapshot of the Raft library, instead of applying commands."""
         if self.cut or self.is_old() or self.applied == len(self.history.log):
             return
-        asked = [(c, a) for c, a in self.history.log[self.applied :] if isinstance(c, Barrier)]
-        del self.barriers[: sum(asker == self.life for _, asker in asked)]  # never answered
+        skipped = [(c, a) for c, a in self.history.log[self.applied :] if isinstance(c, Barrier)]
+        del self.barriers[: sum(submitter == self.run_id for _, submitter in skipped)]  # never answered
         self.ledger = copy.deepcopy(self.history.ledger)
         self.applied = len(self.history.log)
-        self.do(self.machine.loaded(ReplicatedState.of(self.ledger.state()), self.world.now))
+        self.carry_out(self.machine.loaded(ReplicatedState.of(self.ledger.state()), self.world.now))
 
-    def do(self, actions: list[ReplicaAction]) -> None:
+    def carry_out(self, actions: list[ReplicaAction]) -> None:
         for action in actions:
             match action:
                 case Write():
@@ -233,39 +234,39 @@
 
 
 class Gateway:
-    """A gateway's process: its clock, its observer, what it has taken."""
+    """A gateway's process: its clock, its observer, the state it applied."""
 
     relay = False
 
     def __init__(self, world: World, name: str, rate: float) -> None:
         self.world, self.name, self.rate = world, name, rate
         self.offset = world.rng.randrange(1 << 40)
-        self.lives = 0
+        self.starts = 0
         self.hangups: list[Hangup] = []
-        self.isolated = False  # nothing moves on its connections
-        self.slow = False  # everything does slowly
+        self.isolated = False  # nothing is delivered on its connections
+        self.slow = False  # its connections have a high latency
         self.start()
 
     def start(self) -> None:
-        self.lives += 1
+        self.starts += 1
         self.connection: Connection | None = None
         self.policy = PolicyStateMachine(RULES)
-        identity = GatewayIdentity(self.name, f"{self.name}-{self.lives}", "here")
+        identity = GatewayIdentity(self.name, f"{self.name}-{self.starts}", "here")
         names = VOTERS if self.relay else (*VOTERS, RELAY)
         addresses = [ReplicaAddress(name, f"{name}:1", "here") for name in names]
         self.observer = Observer(identity, addresses, self.policy, self.world.rng, TIMES, self.relay)
         self.nodes: Nodes = {}
         self.partial: Nodes = {}
-        self.reached: tuple[int, int, int] = (0, 0, 0)  # history, number, version: never less again
+        self.reached: tuple[int, int, int] = (0, 0, 0)  # history, number, version: must never decrease
 
     def clock(self) -> int:
         return self.offset + int(self.world.now * self.rate)
 
     def step(self) -> None:
         while self.observer.next_at() <= self.clock():
-            self.do(self.observer.tick(self.clock()))
+            self.carry_out(self.observer.tick(self.clock()))
 
-    def do(self, actions: list[ObserverAction]) -> None:
+    def carry_out(self, actions: list[ObserverAction]) -> None:
         for action in actions:
             match action:
                 case Connect():
@@ -278,7 +279,7 @@
                     self.world.drop(self.connection)
                     self.connection = None
                 case TakePolicy():
-                    self.do(self.observer.policy_taken(action.version, True, self.clock()))
+                    self.carry_out(self.observer.policy_taken(action.version, True, self.clock()))
                 case TakeNodes():
                     self.take(action)
 
@@ -295,7 +296,7 @@
 
 
 class Uplink(Gateway):
-    """How a replica without a vote observes a voter."""
+    """Observer with which a non-voting replica follows a voter."""
 
     relay = True
 
@@ -303,64 +304,66 @@
         self.serves = serves
         super().__init__(world, f"{serves.name}-uplink", 1.0)
 
-    def do(self, actions: list[ObserverAction]) -> None:
+    def carry_out(self, actions: list[ObserverAction]) -> None:
         machine, now = self.serves.machine, self.world.now
         for action in actions:
             match action:
                 case StateLoaded():
-                    self.serves.do(machine.loaded(action.state, now))
+                    self.serves.carry_out(machine.loaded(action.state, now))
                 case ChangeReceived():
-                    self.serves.do(machine.committed(action.number, action.delta, now))
+                    self.serves.carry_out(machine.committed(action.number, action.delta, now))
                 case HeartbeatConfirmed():
                     self.serves.confirm(action)
                 case _:
-                    super().do([action])
+                    super().carry_out([action])
 
 
 class Relay(Replica):
-    """A replica without a vote: its barriers are heartbeats to a voter."""
+    """A non-voting replica: its barriers are heartbeats to a voter."""
 
     def __init__(self, world: World, name: str) -> None:
-        self.asked: list[tuple[int, int]] = []  # barrier, sequence
+        self.pending_heartbeats: list[tuple[int, int]] = []  # barrier, sequence
         super().__init__(world, name)
         self.uplink = Uplink(world, self)
 
     def start(self) -> None:
         super().start()
-        self.asked = []
-        if self.lives > 1:
+        self.pending_heartbeats = []
+        if self.starts > 1:
             self.world.drop(self.uplink.connection)
             self.uplink.start()
 
     def step(self) -> None:
         if self.world.now >= self.machine.next_at():
-            self.do(self.machine.tick(self.world.now))
+            self.carry_out(self.machine.tick(self.world.now))
 
     def is_old(self) -> bool:
         return False
 
     def confirm(self, answer: HeartbeatConfirmed) -> None:
-        confirmed = [barrier for barrier, sequence in self.asked if sequence <= answer.sequence]
-        self.asked = [(barrier, n) for barrier, n in self.asked if n > answer.sequence]
+        confirmed = [barrier for barrier, sequence in self.pending_heartbeats if sequence <= answer.sequence]
+        self.pending_heartbeats = [
+            (barrier, n) for barrier, n in self.pending_heartbeats if n > answer.sequence
+        ]
         if confirmed:
-            self.do(self.machine.barrier_confirmed(confirmed[-1], answer.position, self.world.now))
+            self.carry_out(self.machine.barrier_confirmed(confirmed[-1], answer.position, self.world.now))
 
-    def do(self, actions: list[ReplicaAction]) -> None:
+    def carry_out(self, actions: list[ReplicaAction]) -> None:
         for action in actions:
             match action:
                 case StartBarrier():
                     sequence, sent = self.uplink.observer.heartbeat(self.uplink.clock())
                     if sequence:
-                        self.asked.append((action.barrier, sequence))
-                    self.uplink.do(sent)
+                        self.pending_heartbeats.append((action.barrier, sequence))
+                    self.uplink.carry_out(sent)
                 case ReloadState():
-                    pass  # the state comes with the connection
+                    pass  # the connection delivers the state
                 case _:
-                    super().do([action])
+                    super().carry_out([action])
 
 
 class World:
-    """The whole, with its faults as flags and methods."""
+    """All processes and connections, with faults as flags and methods."""
 
     def __init__(
         self,
@@ -372,7 +375,7 @@
         self.now = 0
         self.connections: dict[int, Connection] = {}
         self.connected = 0
-        self.served = 0  # how often a gateway served at a check, so that a test can see it was no empty run
+        self.served = 0  # number of checks with a serving gateway; 0: the run tested nothing
         self.histories: list[History] = []
         self.begin_history()
         self.replicas = {name: Replica(self, name) for name in VOTERS}
@@ -392,18 +395,20 @@
             self.history.ended_at = self.now
         self.histories.append(history)
 
-    # --- what an operator and discovery do
+    # --- actions of operators and discovery
 
     def propose(self) -> None:
         base = self.history.ledger.version()
         self.history.commit(Propose("op", base, f"d{base + 1}", "{}", AFTER_US), self.now)
 
     def activate(self) -> None:
-        """A voter activates the newest version whose delay is over by the fastest clock there may be."""
+        """A voter activates the newest version whose delay is over on the fastest allowed clock."""
         history = self.history
-        ripe = [n for n, at in history.proposed_at.items() if (self.now - at) * (1 + DRIFT) >= AFTER_US]
-        if ripe and max(ripe) > history.ledger.active:
-            history.commit(Activate("r0", max(ripe)), self.now)
+        due_versions = [
+            n for n, at in history.proposed_at.items() if (self.now - at) * (1 + DRIFT) >= AFTER_US
+        ]
+        if due_versions and max(due_versions) > history.ledger.active:
+            history.commit(Activate("r0", max(due_versions)), self.now)
 
     def publish(self, whole: bool, count: int) -> None:
         ledger = self.history.ledger
@@ -429,24 +434,24 @@
         gateway.connection = Connection(self.connected, gateway, self.replicas[name])
         self.connections[self.connected] = gateway.connection
 
-    def drop(self, connection: Connection | None, told: bool = True) -> None:
-        """The connection is over; what was under way is lost. Not `told`: the replica hears of it later."""
+    def drop(self, connection: Connection | None, notify: bool = True) -> None:
+        """End a connection; bytes in flight are lost. Without `notify` the replica is not notified."""
         if connection is None or connection.number not in self.connections:
             return
         del self.connections[connection.number]
-        if told:
+        if notify:
             replica = connection.replica
-            replica.do(replica.machine.disconnected(connection.number, self.now))
+            replica.carry_out(replica.machine.disconnected(connection.number, self.now))
 
-    def cut(self, gateway: Gateway, told_gateway: bool, told_replica: bool) -> None:
-        """A gateway's connection is lost; who is not told has to notice by itself."""
+    def cut(self, gateway: Gateway, notify_gateway: bool, notify_replica: bool) -> None:
+        """Lose a gateway's connection; a side that is not notified must detect it by itself."""
         connection = gateway.connection
         if connection is None:
             return
-        self.drop(connection, told_replica)
-        if told_gateway:
+        self.drop(connection, notify_replica)
+        if notify_gateway:
             gateway.connection = None
-            gateway.do(gateway.observer.disconnected(gateway.clock()))
+            gateway.carry_out(gateway.observer.disconnected(gateway.clock()))
         else:
             connection.stalled = True
 
@@ -460,8 +465,8 @@
         self.drop(gateway.connection)
         gateway.start()
 
-    def begin_anew(self, left_behind: list[Replica]) -> None:
-        """The group is begun anew; some replicas do not know, and have no quorum any more."""
+    def restart_history(self, left_behind: list[Replica]) -> None:
+        """Start a new history; the replicas left behind do not know of it and have no quorum."""
         self.begin_history()
         for replica in self.replicas.values():
             if replica not in left_behind and replica is not self.relay:
@@ -491,24 +496,24 @@
             return  # lost earlier in this step
         if not connection.accepted:
             connection.accepted = True
-            replica.do(replica.machine.accepted(reader, self.now))
-            gateway.do(gateway.observer.connected(gateway.clock()))
+            replica.carry_out(replica.machine.accepted(reader, self.now))
+            gateway.carry_out(gateway.observer.connected(gateway.clock()))
         for piece in self.arrived(connection.up):
             for frame in connection.to_replica.feed(piece):
-                replica.do(replica.machine.received(reader, frame, self.now))
+                replica.carry_out(replica.machine.received(reader, frame, self.now))
         for piece in self.arrived(connection.down):
             for frame in connection.to_gateway.feed(piece):
                 if connection.number in self.connections:
-                    gateway.do(gateway.observer.received(frame, gateway.clock()))
+                    gateway.carry_out(gateway.observer.received(frame, gateway.clock()))
         waiting = sum(len(data) for _, data in connection.down)
-        replica.do(replica.machine.queued(reader, waiting, self.now))
+        replica.carry_out(replica.machine.queued(reader, waiting, self.now))
         if connection.closing and not connection.down and gateway.connection is connection:
             self.drop(connection)
             gateway.connection = None
-            gateway.do(gateway.observer.disconnected(gateway.clock()))
+            gateway.carry_out(gateway.observer.disconnected(gateway.clock()))
 
     def arrived(self, queue: deque[tuple[int, bytes]]) -> list[bytes]:
-        """What has come by now, in pieces that do not end where frames do."""
+        """The bytes that have arrived, split independently of frame boundaries."""
         data = b""
         while queue and queue[0][0] <= self.now:
             data += queue.popleft()[1]
@@ -538,9 +543,9 @@
             assert gateway.nodes == known or not known, f"nodes differ at {position}"
         if not policy.heartbeat_valid(clock):
             return
-        # Whatever was committed longer ago than the validity is known here.
-        proved = history.number_at(self.now - VALIDITY_US)
-        assert position.number >= proved, f"valid at {position.number}, {proved} was committed in time"
+        # Every change committed longer ago than the validity must be known here.
+        required = history.number_at(self.now - VALIDITY_US)
+        assert position.number >= required, f"valid at {position.number}, {required} was committed in time"
         if history.ended_at is not None:
             assert self.now <= history.ended_at + VALIDITY_US, "valid in a history that has ended"
         if policy.serves(clock):
@@ -548,14 +553,14 @@
             self.check_version(policy.serving.number, history)
 
     def check_version(self, version: int, history: History) -> None:
-        """Requests are served under an active version, and under one that was replaced only for so long."""
+        """Requests are served under an activated version, and under a replaced one only for the validity."""
         assert not version or version in history.activated_at, f"{version} is not active"
         for newer, at in history.activated_at.items():
             if newer > version:
                 assert self.now <= at + VALIDITY_US, f"serves under {version}, {newer} is active since {at}"
 
     def settle(self, duration_us: int = 5000 * MS) -> None:
-        """Without faults all gateways come to the newest state and serve."""
+        """Clear all faults; then all gateways must reach the newest state and serve."""
         for replica in self.replicas.values():
             replica.cut = replica.lagging = replica.slow = False
             if replica.is_old():
