--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -1,5 +1,5 @@
-"""The control plane's parts one by one: codec, log, snapshots, routing, ledger, and the hard cases of the
-replica's and the observer's state machines. No sockets, no processes."""
+"""Unit tests of the control plane: codec, log, snapshots, routing, ledger, and edge cases of the state
+machines of replica and observer. No sockets, no processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from stackrouter.controlplane import frames_pb2 as pb
-from stackrouter.controlplane.codec import MOST_TO_GATEWAY, MOST_TO_REPLICA, FrameDecoder, encode
+from stackrouter.controlplane.codec import MAX_TO_GATEWAY_BYTES, MOST_TO_REPLICA, FrameDecoder, encode
 from stackrouter.controlplane.conversion import delta_from, item_from, node_message
 from stackrouter.controlplane.delta_log import DeltaLog
 from stackrouter.controlplane.frames_pb2 import (
@@ -58,7 +58,7 @@
 )
 from stackrouter.controlplane.routing import Backoff, ReplicaAddress, replica_order
 from stackrouter.controlplane.snapshot import (
-    MOST_CHUNK_BYTES,
+    MAX_CHUNK_BYTES,
     NODES_IN_CHUNK,
     ReceivedSnapshot,
     ReplicatedState,
@@ -97,20 +97,20 @@
 )
 
 MS = 1000
-H = "history-1"
+HISTORY = "history-1"
 RULES = Rules(validity_us=1000 * MS, max_drift_us=100 * MS)
-LIMITS = ReplicaLimits(most_gateways=3, most_log_entries=4, barrier_interval_us=100 * MS)
+LIMITS = ReplicaLimits(most_gateways=3, max_log_entries=4, barrier_interval_us=100 * MS)
 
 
 def item(n: int, status: str = "up", weight: float = 1.0) -> dict[str, Any]:
-    """A node as discovery's JSON has it."""
+    """A node as in discovery's JSON."""
     return {
         "name": f"n{n}", "address": f"10.0.0.{n % 250}:9000", "group": n // 3, "status": status, "zone": "z",
         "type": "t", "weight": weight, "since_ms": 1_700_000_000_000 + n,
     }  # fmt: skip
 
 
-def state(number: int = 0, nodes: int = 0, history: str = H) -> ReplicatedState:
+def state(number: int = 0, nodes: int = 0, history: str = HISTORY) -> ReplicatedState:
     messages = {f"n{n}": node_message(item(n)) for n in range(nodes)}
     return ReplicatedState(LogPosition(history, number), [], 0, 1 if nodes else -1, messages)
 
@@ -120,7 +120,7 @@
 
 
 def frames(data: bytes) -> list[Frame]:
-    return FrameDecoder(MOST_TO_GATEWAY).feed(data)
+    return FrameDecoder(MAX_TO_GATEWAY_BYTES).feed(data)
 
 
 def body(frame: Frame) -> str:
@@ -145,19 +145,17 @@
 class Codec(unittest.TestCase):
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @given(sent=st.lists(FRAMES, max_size=8), cuts=st.lists(st.integers(0, 2000), max_size=12))
-    def test_frames_come_out_as_they_went_in_whatever_the_pieces(
-        self, sent: list[Frame], cuts: list[int]
-    ) -> None:
+    def test_frames_round_trip_when_split_arbitrarily(self, sent: list[Frame], cuts: list[int]) -> None:
         data = b"".join(encode(frame) for frame in sent)
         edges = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
-        decoder, came = FrameDecoder(MOST_TO_GATEWAY), list[Frame]()
+        decoder, decoded = FrameDecoder(MAX_TO_GATEWAY_BYTES), list[Frame]()
         for start, end in pairwise(edges):
-            came += decoder.feed(data[start:end])
-        self.assertEqual(came, sent)
+            decoded += decoder.feed(data[start:end])
+        self.assertEqual(decoded, sent)
 
     @settings(max_examples=200, deadline=None, derandomize=True, database=None)
     @given(data=st.lists(st.binary(max_size=40), max_size=6))
-    def test_any_bytes_give_frames_or_one_typed_error(self, data: list[bytes]) -> None:
+    def test_arbitrary_bytes_decode_or_raise_one_typed_error(self, data: list[bytes]) -> None:
         decoder = FrameDecoder(64)
         try:
             for piece in data:
@@ -167,7 +165,7 @@
             with self.assertRaises(type(error)):
                 decoder.feed(b"\0")
 
-    def test_what_is_too_large_unreadable_or_empty_has_a_type_each(self) -> None:
+    def test_too_large_unreadable_and_empty_frames_raise_distinct_errors(self) -> None:
         for data, error in (
             (b"GET / HTTP/1.1\r\n", FrameTooLargeError),
             (b"\x16\x03\x01\x02\x00\x01", FrameTooLargeError),  # the first bytes of TLS
@@ -179,34 +177,39 @@
             with self.subTest(data), self.assertRaises(error):
                 FrameDecoder(MOST_TO_REPLICA).feed(data)
         whole = encode(Frame(hello=Hello(gateway="g" * 1000)))
-        self.assertEqual(len(FrameDecoder(len(whole) - 4).feed(whole)), 1)  # at the bound it is taken
+        self.assertEqual(len(FrameDecoder(len(whole) - 4).feed(whole)), 1)  # exactly at the limit
         with self.assertRaises(FrameTooLargeError):
-            FrameDecoder(len(whole) - 5).feed(whole[:4])  # before any of it is kept
+            FrameDecoder(len(whole) - 5).feed(whole[:4])  # before any of it is buffered
 
 
-class Log(unittest.TestCase):
-    def test_what_is_retained_leads_on_from_any_position_that_it_covers(self) -> None:
-        log = DeltaLog(LogPosition(H, 10), 3, 100)
-        self.assertEqual(log.after(LogPosition(H, 10)), [])
+class DeltaLogs(unittest.TestCase):
+    def test_returns_changes_after_any_retained_position(self) -> None:
+        log = DeltaLog(LogPosition(HISTORY, 10), 3, 100)
+        self.assertEqual(log.after(LogPosition(HISTORY, 10)), [])
         for number in range(11, 16):
             log.append(number, b"%d" % number)
-        self.assertEqual(log.after(LogPosition(H, 13)), [b"14", b"15"])
-        self.assertEqual(log.after(LogPosition(H, 12)), [b"13", b"14", b"15"])
-        self.assertEqual(log.after(LogPosition(H, 15)), [])
-        for position in (LogPosition(H, 11), LogPosition(H, 16), LogPosition("other", 14), LogPosition()):
-            self.assertIsNone(log.after(position), position)  # compacted away, of the future, another history
+        self.assertEqual(log.after(LogPosition(HISTORY, 13)), [b"14", b"15"])
+        self.assertEqual(log.after(LogPosition(HISTORY, 12)), [b"13", b"14", b"15"])
+        self.assertEqual(log.after(LogPosition(HISTORY, 15)), [])
+        for position in (
+            LogPosition(HISTORY, 11),
+            LogPosition(HISTORY, 16),
+            LogPosition("other", 14),
+            LogPosition(),
+        ):
+            self.assertIsNone(log.after(position), position)  # compacted, in the future, of another history
         with self.assertRaises(StreamGapError):
             log.append(17, b"17")
 
-    def test_bytes_are_bounded_as_well_as_entries(self) -> None:
-        log = DeltaLog(LogPosition(H, 0), 100, 50)
+    def test_bytes_and_entries_are_bounded(self) -> None:
+        log = DeltaLog(LogPosition(HISTORY, 0), 100, 50)
         for number in range(1, 20):
             log.append(number, bytes(20))
             self.assertLessEqual(log.retained_bytes, 50)
-        self.assertIsNone(log.after(LogPosition(H, 16)))
-        self.assertEqual(len(log.after(LogPosition(H, 17)) or []), 2)
-        log.append(20, bytes(60))  # larger than all that may be kept
-        self.assertEqual((log.retained_bytes, log.after(LogPosition(H, 20))), (0, []))
+        self.assertIsNone(log.after(LogPosition(HISTORY, 16)))
+        self.assertEqual(len(log.after(LogPosition(HISTORY, 17)) or []), 2)
+        log.append(20, bytes(60))  # larger than the limit of the log
+        self.assertEqual((log.retained_bytes, log.after(LogPosition(HISTORY, 20))), (0, []))
 
 
 class Snapshots(unittest.TestCase):
@@ -216,14 +219,13 @@
 
     def assemble(self, parts: list[SnapshotPart]) -> ReceivedSnapshot:
         assembler = SnapshotAssembler()
-        came = [assembler.add(part) for part in parts]
-        self.assertEqual(
-            [snapshot for snapshot in came[:-1] if snapshot is not None], []
-        )  # not before the last
-        assert came[-1] is not None
-        return came[-1]
-
-    def test_a_state_comes_out_as_it_went_in(self) -> None:
+        decoded = [assembler.add(part) for part in parts]
+        # No snapshot is complete before the last part.
+        self.assertEqual([snapshot for snapshot in decoded[:-1] if snapshot is not None], [])
+        assert decoded[-1] is not None
+        return decoded[-1]
+
+    def test_a_state_round_trips(self) -> None:
         for nodes in (0, 1, NODES_IN_CHUNK, NODES_IN_CHUNK + 1, 1000):
             whole = state(7, nodes)
             whole.policies = [Version(n, f"d{n}", "{}" * n, 5, "op") for n in (3, 4)]
@@ -233,7 +235,7 @@
             self.assertEqual(received.state(), whole)
             self.assertTrue(all(len(received.nodes(n)) <= 128 for n in range(len(received.node_chunks))))
 
-    def test_parts_that_do_not_follow_are_refused(self) -> None:
+    def test_parts_out_of_order_are_refused(self) -> None:
         first, second = self.parts(state(7, 400)), self.parts(state(8, 400))
         for wrong in (
             [first[1]],
@@ -245,17 +247,17 @@
             with self.assertRaises(SnapshotRefusedError):
                 for part in wrong:
                     assembler.add(part)
-        # A snapshot that begins again is a new one, of whatever position.
+        # A first part starts a new snapshot, at any position.
         self.assertEqual(self.assemble([*first[:2], *second]).position.number, 8)
 
-    def test_what_cannot_be_unpacked_or_grows_too_large_is_refused(self) -> None:
+    def test_undecodable_and_oversized_parts_are_refused(self) -> None:
         pack = zstandard.ZstdCompressor().compress
         stream = zstandard.ZstdCompressor().compressobj()
         unsized = stream.compress(b"x" * 100) + stream.flush()
         nodes = [node_message(item(n)) for n in range(NODES_IN_CHUNK + 1)]
         bad = {
             "no zstd": b"abc",
-            "a bomb": pack(bytes(MOST_CHUNK_BYTES + 1)),
+            "too large": pack(bytes(MAX_CHUNK_BYTES + 1)),
             "no size": unsized,
             "no chunk": pack(b"\xff\xff"),
             "two frames": 2 * pack(SnapshotChunk(active=1).SerializeToString()),
@@ -263,18 +265,18 @@
             "too many nodes": pack(SnapshotChunk(nodes=nodes).SerializeToString()),
         }
         for name, data in bad.items():
-            part = SnapshotPart(position=Position(history=H, number=1), part=0, parts=1, data=data)
+            part = SnapshotPart(position=Position(history=HISTORY, number=1), part=0, parts=1, data=data)
             with self.subTest(name), self.assertRaises(SnapshotRefusedError):
                 SnapshotAssembler().add(part)
         with self.assertRaises(SnapshotRefusedError):
             SnapshotAssembler().add(SnapshotPart(part=0, parts=1 << 30))
         parts = self.parts(state(1, 1000))
-        small = SnapshotAssembler(most_bytes=sum(len(part.data) for part in parts) - 1)
+        small = SnapshotAssembler(max_bytes=sum(len(part.data) for part in parts) - 1)
         with self.assertRaises(SnapshotRefusedError):
             for part in parts:
                 small.add(part)
 
-    def test_a_whole_list_is_passed_on_as_what_it_changes(self) -> None:
+    def test_a_whole_list_is_reduced_to_its_changes(self) -> None:
         old = state(4, 300)
         old.nodes_index = 9
         items = [item(n, weight=5.0 if n == 7 else 1.0) for n in range(1, 300)]
@@ -284,18 +286,18 @@
         self.assertFalse(delta.nodes.whole)
         old.apply(delta)
         self.assertEqual(old.nodes, {entry["name"]: node_message(entry) for entry in items})
-        self.assertEqual((old.nodes_index, old.position), (12, LogPosition(H, 5)))
-        anew = ListingSeen(1, None, {"index": 2, "endpoints": items}, 6)  # discovery has begun anew
-        self.assertTrue(old.narrowed(delta_from(anew)).nodes.whole)
+        self.assertEqual((old.nodes_index, old.position), (12, LogPosition(HISTORY, 5)))
+        restarted = ListingSeen(1, None, {"index": 2, "endpoints": items}, 6)  # discovery has started again
+        self.assertTrue(old.narrowed(delta_from(restarted)).nodes.whole)
 
-    def test_entries_of_the_list_are_the_same_on_both_sides(self) -> None:
+    def test_list_entries_round_trip(self) -> None:
         self.assertEqual(item_from(node_message(item(5))), item(5))
         sparse = item_from(node_message({"name": "n", "address": "a:1", "group": 0, "status": "up"}))
         self.assertEqual((sparse["weight"], sparse["since_ms"], sparse["zone"]), (1.0, 0, ""))
 
 
 class Routing(unittest.TestCase):
-    def test_gateways_spread_evenly_and_those_of_a_lost_replica_too(self) -> None:
+    def test_gateways_spread_evenly_also_after_a_replica_is_lost(self) -> None:
         replicas = [ReplicaAddress(f"r{n}", f"h{n}:1", f"region{n % 2}") for n in range(8)]
         orders = [replica_order(f"gw{n}", "region0", replicas) for n in range(2000)]
         for order in orders:
@@ -305,25 +307,25 @@
         self.assertTrue(all(400 < count < 600 for count in first.values()), first)
         second = Counter(order[1].name for order in orders if order[0].name == "r0")
         self.assertTrue(all(count > 100 for count in second.values()) and len(second) == 3, second)
-        # Without a replica nobody else's order changes.
+        # Removing a replica keeps the order of the others.
         fewer = replica_order("gw1", "region0", [r for r in replicas if r is not orders[1][0]])
         self.assertEqual(fewer, orders[1][1:])
 
-    def test_delays_are_drawn_from_a_bound_that_doubles_up_to_the_most(self) -> None:
+    def test_delays_are_drawn_below_a_bound_that_doubles_up_to_the_maximum(self) -> None:
         bounds = [100, 200, 400, 800, 1000, 1000]
         drawn = [Backoff(100, 1000, Random(seed)) for seed in range(300)]
         for bound in bounds:
             delays = [backoff.next_delay_us() for backoff in drawn]
             self.assertLessEqual(max(delays), bound)
             self.assertGreater(max(delays), bound * 0.9)
-            self.assertLess(min(delays), bound * 0.1)  # full jitter: from nothing on
+            self.assertLess(min(delays), bound * 0.1)  # full jitter: delays start at 0
         drawn[0].reset()
         self.assertLessEqual(drawn[0].next_delay_us(), 100)
         for _ in range(100):
             self.assertLessEqual(drawn[1].next_delay_us(), 1000)
 
 
-class Numbers(unittest.TestCase):
+class LedgerNumbers(unittest.TestCase):
     """The ledger's history, numbers, barriers and reports."""
 
     def ledger(self, *commands: Command) -> Ledger:
@@ -332,11 +334,11 @@
             self.assertEqual(ledger.apply(command)[0], "")
         return ledger
 
-    def test_changes_that_took_hold_are_numbered_from_the_beginning_of_the_history(self) -> None:
+    def test_applied_changes_are_numbered_from_the_start_of_the_history(self) -> None:
         ledger = self.ledger(Propose("a", 0, "d", "{}", 5))
         self.assertEqual(ledger.position(), LogPosition("", 0))
-        self.assertEqual(ledger.apply(BeginHistory("a", H)), ("", [HistoryBegun(H)]))
-        for identity in (H, "other", ""):
+        self.assertEqual(ledger.apply(BeginHistory("a", HISTORY)), ("", [HistoryBegun(HISTORY)]))
+        for identity in (HISTORY, "other", ""):
             self.assertTrue(ledger.apply(BeginHistory("b", identity))[0])
         self.assertTrue(Ledger().apply(BeginHistory("b", "x" * 65))[0])
         seen = []
@@ -355,12 +357,12 @@
             for event in seen
             if isinstance(event, PolicySeen | ActiveSeen | ListingSeen)
         ]
-        self.assertEqual((numbers, ledger.position()), ([1, 2, 3], LogPosition(H, 3)))
+        self.assertEqual((numbers, ledger.position()), ([1, 2, 3], LogPosition(HISTORY, 3)))
         whole = ledger.state()
-        self.assertEqual((whole.position, whole.active, whole.nodes_index), (LogPosition(H, 3), 2, 3))
+        self.assertEqual((whole.position, whole.active, whole.nodes_index), (LogPosition(HISTORY, 3), 2, 3))
         self.assertEqual(whole.nodes, (item(1),))
 
-    def test_a_dump_of_an_older_release_loads_and_counts_as_all_others_do(self) -> None:
+    def test_a_dump_of_an_older_release_loads_and_numbers_changes_alike(self) -> None:
         old = self.ledger(Propose("a", 0, "d", "{}", 5))
         _, slots = old.__reduce_ex__(2)[2]  # type: ignore[misc]
         newer = {name: slots.pop(name) for name in ("history", "number", "reports")}
@@ -369,26 +371,26 @@
         loaded.__setstate__((None, pickle.loads(pickle.dumps(slots))))
         fresh = self.ledger(Propose("a", 0, "d", "{}", 5))
         for ledger in (loaded, fresh):
-            ledger.apply(Propose("a", 1, "e", "{}", 5))  # by the newer release, not numbered yet
-            ledger.apply(BeginHistory("a", H))
+            ledger.apply(Propose("a", 1, "e", "{}", 5))  # by the newer release, before numbering starts
+            ledger.apply(BeginHistory("a", HISTORY))
             ledger.apply(Activate("a", 2))
         self.assertEqual(loaded, fresh)
-        self.assertEqual(loaded.position(), LogPosition(H, 1))
+        self.assertEqual(loaded.position(), LogPosition(HISTORY, 1))
         self.assertEqual(pickle.loads(pickle.dumps(loaded)), fresh)
 
-    def test_the_active_version_stays_for_those_who_start(self) -> None:
+    def test_the_active_version_is_retained_for_starting_gateways(self) -> None:
         ledger = self.ledger(Propose("a", 0, "d1", "{}", 5), Activate("a", 1))
         for base in range(1, 20):
             ledger.apply(Propose("a", base, f"d{base + 1}", "{}", 5))
         numbers = [version.number for version in ledger.policies]
         self.assertEqual(numbers, [1, *range(22 - MOST_VERSIONS, 21)])
-        self.assertEqual(ledger.apply(Activate("a", 5))[0], "gone")  # nobody who starts could learn it
+        self.assertEqual(ledger.apply(Activate("a", 5))[0], "gone")  # a starting gateway could not learn it
         self.assertEqual(ledger.apply(Activate("a", 20))[0], "")
         ledger.apply(Propose("a", 20, "d21", "{}", 5))
         self.assertNotIn(1, [version.number for version in ledger.policies])
 
     def test_reports_are_kept_by_replica_and_bounded(self) -> None:
-        ledger = self.ledger(BeginHistory("a", H))
+        ledger = self.ledger(BeginHistory("a", HISTORY))
         for n in range(MOST_REPORTS + 5):
             ledger.apply(Barrier(f"r{n}", ServingReport(n, ((1, n),), ("g",))))
         self.assertEqual(len(ledger.reports), MOST_REPORTS)
@@ -396,11 +398,11 @@
         self.assertEqual(ledger.reports["r9"], ServingReport(9, ((1, 9),), ("g",)))
         too_many = ServingReport(1, (), ("g",) * (MOST_REPORTED + 1))
         self.assertEqual(ledger.apply(Barrier("r9", too_many))[0], "size")
-        self.assertEqual(ledger.position(), LogPosition(H, 0))  # a barrier is no change
+        self.assertEqual(ledger.position(), LogPosition(HISTORY, 0))  # a barrier is not a change
 
 
 class Replica:
-    """A replica's state machine with what it wrote to each reader, and barriers that the test answers."""
+    """A replica's state machine, with the frames written to each reader. The test answers its barriers."""
 
     def __init__(self, whole: ReplicatedState | None, limits: ReplicaLimits = LIMITS) -> None:
         self.machine, self.now = ReplicaStateMachine("r", limits), 0
@@ -410,11 +412,11 @@
         self.barriers: list[StartBarrier] = []
         self.reloads = 0
         if whole is not None:
-            self.do(self.machine.loaded(whole, 0))
+            self.carry_out(self.machine.loaded(whole, 0))
             self.confirm(whole.position)
-            self.pass_time(limits.barrier_interval_us)
+            self.advance(limits.barrier_interval_us)
 
-    def do(self, actions: list[ReplicaAction]) -> None:
+    def carry_out(self, actions: list[ReplicaAction]) -> None:
         for action in actions:
             match action:
                 case Write():
@@ -428,39 +430,39 @@
                 case ReloadState():
                     self.reloads += 1
 
-    def pass_time(self, us: int) -> None:
+    def advance(self, us: int) -> None:
         until = self.now + us
         while (at := max(self.now, self.machine.next_at())) <= until:
             self.now = at + 1
-            self.do(self.machine.tick(self.now))
+            self.carry_out(self.machine.tick(self.now))
         self.now = max(self.now, until)
 
     def confirm(self, position: LogPosition) -> None:
         if not self.barriers:
-            self.pass_time(self.machine.limits.barrier_interval_us)
-        self.do(self.machine.barrier_confirmed(self.barriers.pop().barrier, position, self.now))
+            self.advance(self.machine.limits.barrier_interval_us)
+        self.carry_out(self.machine.barrier_confirmed(self.barriers.pop().barrier, position, self.now))
 
     def hello(self, reader: int, gateway: str = "", resume: LogPosition | None = None) -> None:
         hello = Hello(protocol=1, gateway=gateway or f"g{reader}", life="1")
         if resume is not None:
             hello.resume.history, hello.resume.number = resume.history, resume.number
-        self.do(self.machine.accepted(reader, self.now))
+        self.carry_out(self.machine.accepted(reader, self.now))
         self.receive(reader, Frame(hello=hello))
 
     def receive(self, reader: int, frame: Frame) -> None:
-        self.do(self.machine.received(reader, frame, self.now))
+        self.carry_out(self.machine.received(reader, frame, self.now))
 
     def heartbeat(self, reader: int, sequence: int, serving: int = 0) -> None:
         self.receive(reader, Frame(heartbeat=Heartbeat(sequence=sequence, serving=serving)))
 
     def commit(self, delta: Delta) -> None:
-        self.do(self.machine.committed(delta.number, delta, self.now))
+        self.carry_out(self.machine.committed(delta.number, delta, self.now))
 
     def drain(self, reader: int) -> None:
-        self.do(self.machine.queued(reader, 0, self.now))
+        self.carry_out(self.machine.queued(reader, 0, self.now))
 
     def bodies(self, reader: int) -> list[str]:
-        """What was written to a reader since the last call."""
+        """Kinds of the frames written to a reader since the last call."""
         return [body(frame) for frame in self.written.pop(reader, [])]
 
     def answered(self, reader: int) -> list[int]:
@@ -468,110 +470,113 @@
         return [f.heartbeat_answer.sequence for f in written if body(f) == "heartbeat_answer"]
 
 
-class Replicas(unittest.TestCase):
-    def test_nobody_is_served_before_the_state_was_confirmed(self) -> None:
+class ReplicaStateMachines(unittest.TestCase):
+    def test_rejects_readers_until_the_state_is_confirmed(self) -> None:
         replica = Replica(None)
-        replica.pass_time(1)
+        replica.advance(1)
         replica.hello(1)
         self.assertEqual(replica.closed[1].reason, pb.NOT_READY)
-        replica.confirm(LogPosition("", 0))  # the group has not begun its history
+        replica.confirm(LogPosition("", 0))  # the group has no history yet
         self.assertEqual(replica.reloads, 0)
-        replica.confirm(LogPosition(H, 5))  # it has a state that is not known here
+        replica.confirm(LogPosition(HISTORY, 5))  # the group has a state that was not loaded here
         self.assertEqual(replica.reloads, 1)
-        replica.do(replica.machine.loaded(state(5, 10), replica.now))
+        replica.carry_out(replica.machine.loaded(state(5, 10), replica.now))
         replica.hello(2)
         self.assertEqual(replica.closed[2].reason, pb.NOT_READY)
-        replica.confirm(LogPosition(H, 5))
+        replica.confirm(LogPosition(HISTORY, 5))
         replica.hello(3)
         self.assertEqual(replica.bodies(3), ["welcome", "snapshot_part", "snapshot_part"])
 
-    def test_a_reader_resumes_where_it_was_or_gets_a_snapshot(self) -> None:
+    def test_a_reader_resumes_from_its_position_or_gets_a_snapshot(self) -> None:
         replica = Replica(state(10, 5), LIMITS)
         for number in range(11, 17):
             replica.commit(change(number))
-        replica.hello(1, resume=LogPosition(H, 14))
+        replica.hello(1, resume=LogPosition(HISTORY, 14))
         self.assertEqual(replica.bodies(1), ["welcome", "delta", "delta"])
-        replica.hello(2, resume=LogPosition(H, 16))
+        replica.hello(2, resume=LogPosition(HISTORY, 16))
         self.assertEqual(replica.bodies(2), ["welcome"])
-        replica.hello(3, resume=LogPosition(H, 11))  # compacted away
+        replica.hello(3, resume=LogPosition(HISTORY, 11))  # compacted
         self.assertEqual(replica.bodies(3), ["welcome", "snapshot_part", "snapshot_part"])
-        replica.do(replica.machine.disconnected(1, replica.now))
+        replica.carry_out(replica.machine.disconnected(1, replica.now))
         replica.hello(4, resume=LogPosition("other", 15))
         self.assertEqual(replica.bodies(4), ["welcome", "snapshot_part", "snapshot_part"])
-        replica.do(replica.machine.disconnected(2, replica.now))
-        replica.hello(5, resume=LogPosition(H, 17))  # this replica is behind: its state must not be taken
+        replica.carry_out(replica.machine.disconnected(2, replica.now))
+        replica.hello(5, resume=LogPosition(HISTORY, 17))  # the replica is behind: it must not send its state
         self.assertEqual(replica.closed[5].reason, pb.NOT_READY)
         replica.commit(change(17))
         self.assertEqual([replica.bodies(n) for n in (3, 4)], [["delta"], ["delta"]])
 
-    def test_much_that_was_missed_is_sent_as_a_snapshot(self) -> None:
+    def test_many_missed_changes_are_sent_as_a_snapshot(self) -> None:
         replica = Replica(state(0, 5), ReplicaLimits(most_resume_bytes=200))
         for number in range(1, 10):
             replica.commit(change(number))
-        replica.hello(1, resume=LogPosition(H, 0))
-        replica.hello(2, resume=LogPosition(H, 8))
+        replica.hello(1, resume=LogPosition(HISTORY, 0))
+        replica.hello(2, resume=LogPosition(HISTORY, 8))
         self.assertIn("snapshot_part", replica.bodies(1))
         self.assertEqual(replica.bodies(2), ["welcome", "delta"])
 
-    def test_a_barrier_confirms_the_heartbeats_that_came_before_its_start(self) -> None:
+    def test_a_barrier_confirms_heartbeats_received_before_its_start(self) -> None:
         replica = Replica(state(3))
         replica.hello(1)
         replica.hello(2)
         replica.heartbeat(1, 1)
-        replica.pass_time(100 * MS)
+        replica.advance(100 * MS)
         self.assertEqual(len(replica.barriers), 1)
         replica.heartbeat(1, 2)
         replica.heartbeat(2, 1)
-        replica.pass_time(200 * MS)
+        replica.advance(200 * MS)
         self.assertEqual(len(replica.barriers), 1)  # one at a time
-        replica.confirm(LogPosition(H, 3))
+        replica.confirm(LogPosition(HISTORY, 3))
         self.assertEqual((replica.answered(1), replica.answered(2)), ([1], []))
-        self.assertEqual(len(replica.barriers), 1)  # the next one, for what came meanwhile
-        replica.confirm(LogPosition(H, 3))
+        self.assertEqual(len(replica.barriers), 1)  # the next one, for the heartbeats since
+        replica.confirm(LogPosition(HISTORY, 3))
         self.assertEqual((replica.answered(1), replica.answered(2)), ([2], [1]))
-        replica.pass_time(500 * MS)
-        self.assertEqual(replica.barriers, [])  # nobody asks
+        replica.advance(500 * MS)
+        self.assertEqual(replica.barriers, [])  # no heartbeat is pending
 
-    def test_barriers_do_not_depend_on_how_many_ask(self) -> None:
+    def test_the_number_of_barriers_is_independent_of_the_number_of_readers(self) -> None:
         replica = Replica(state(3), ReplicaLimits(barrier_interval_us=100 * MS))
         for reader in range(60):
             replica.hello(reader)
         for step in range(1, 11):
             for reader in range(60):
                 replica.heartbeat(reader, step)
-            replica.pass_time(50 * MS)
+            replica.advance(50 * MS)
             if replica.barriers:
-                replica.confirm(LogPosition(H, 3))
+                replica.confirm(LogPosition(HISTORY, 3))
         self.assertLessEqual(replica.machine.counts.barriers_started, 2 + 6)
         self.assertEqual(replica.machine.counts.heartbeats, 600)
 
-    def test_a_barrier_that_fails_or_is_never_answered_answers_nobody(self) -> None:
+    def test_a_failed_or_unanswered_barrier_confirms_nothing(self) -> None:
         replica = Replica(state(3))
         replica.hello(1)
         replica.heartbeat(1, 1)
-        replica.pass_time(100 * MS)
+        replica.advance(100 * MS)
         first = replica.barriers.pop()
-        replica.do(replica.machine.barrier_failed(first.barrier, replica.now))
-        replica.pass_time(100 * MS)
+        replica.carry_out(replica.machine.barrier_failed(first.barrier, replica.now))
+        replica.advance(100 * MS)
         second = replica.barriers.pop()
         replica.heartbeat(1, 2)
-        replica.pass_time(LIMITS.barrier_timeout_us + 1)
+        replica.advance(LIMITS.barrier_timeout_us + 1)
         self.assertEqual(replica.answered(1), [])
-        replica.do(replica.machine.barrier_confirmed(second.barrier, LogPosition(H, 3), replica.now))  # late
+        # A late confirmation is ignored.
+        replica.carry_out(
+            replica.machine.barrier_confirmed(second.barrier, LogPosition(HISTORY, 3), replica.now)
+        )
         self.assertEqual(replica.answered(1), [])
-        replica.confirm(LogPosition(H, 3))
+        replica.confirm(LogPosition(HISTORY, 3))
         self.assertEqual(replica.answered(1), [2])
 
-    def test_a_replica_that_reaches_no_quorum_takes_nobody_on(self) -> None:
+    def test_a_replica_without_quorum_rejects_new_readers(self) -> None:
         replica = Replica(state(3))
         replica.hello(1)
         replica.heartbeat(1, 1)
-        replica.pass_time(4 * LIMITS.barrier_timeout_us)
+        replica.advance(4 * LIMITS.barrier_timeout_us)
         self.assertEqual(replica.answered(1), [])
         self.assertNotIn(1, replica.closed)
         replica.hello(2)
         self.assertEqual(replica.closed[2].reason, pb.NOT_READY)
-        replica.confirm(LogPosition(H, 3))
+        replica.confirm(LogPosition(HISTORY, 3))
         replica.hello(3)
         self.assertNotIn(3, replica.closed)
 
@@ -580,21 +585,21 @@
         replica.hello(1)
         replica.bodies(1)
         replica.heartbeat(1, 1)
-        replica.confirm(LogPosition(H, 5))  # two changes were missed here
+        replica.confirm(LogPosition(HISTORY, 5))  # this replica missed two changes
         self.assertEqual((replica.reloads, replica.bodies(1)), (1, []))
         replica.commit(change(4))
         self.assertEqual(replica.bodies(1), ["delta"])
         replica.commit(change(5))
         self.assertEqual(replica.bodies(1), ["delta", "heartbeat_answer"])
 
-    def test_no_answer_overtakes_a_snapshot(self) -> None:
+    def test_answers_are_sent_after_the_snapshot(self) -> None:
         replica = Replica(state(3, 1000), ReplicaLimits(snapshot_window_bytes=1))
         replica.hello(1)
         replica.heartbeat(1, 1)
-        replica.confirm(LogPosition(H, 3))
+        replica.confirm(LogPosition(HISTORY, 3))
         replica.commit(change(4))
         replica.heartbeat(1, 2)
-        replica.confirm(LogPosition(H, 4))
+        replica.confirm(LogPosition(HISTORY, 4))
         for _ in range(20):
             replica.drain(1)
         written = replica.written[1]
@@ -603,29 +608,31 @@
         self.assertEqual(written[-1].heartbeat_answer.sequence, 2)
         self.assertEqual(written[-1].heartbeat_answer.position.number, 4)
 
-    def test_a_gap_or_another_history_sends_all_readers_through_a_snapshot(self) -> None:
+    def test_a_gap_or_another_history_sends_snapshots_to_all_readers(self) -> None:
         replica = Replica(state(3, 5))
         replica.hello(1)
         replica.bodies(1)
         replica.commit(change(5))
         self.assertEqual((replica.reloads, replica.bodies(1)), (1, []))
-        replica.commit(change(3))  # known already
-        replica.do(replica.machine.loaded(state(3, 5), replica.now))  # nothing newer
+        replica.commit(change(3))  # already applied
+        replica.carry_out(replica.machine.loaded(state(3, 5), replica.now))  # nothing newer
         self.assertEqual(replica.bodies(1), [])
-        replica.do(replica.machine.loaded(state(6, 5), replica.now))
+        replica.carry_out(replica.machine.loaded(state(6, 5), replica.now))
         self.assertEqual(replica.bodies(1), ["snapshot_queued", "snapshot_part", "snapshot_part"])
         replica.heartbeat(1, 1)
-        replica.pass_time(100 * MS)
-        replica.do(replica.machine.loaded(state(1, 2, "history-2"), replica.now))
+        replica.advance(100 * MS)
+        replica.carry_out(replica.machine.loaded(state(1, 2, "history-2"), replica.now))
         self.assertEqual(replica.bodies(1), ["snapshot_queued", "snapshot_part", "snapshot_part"])
-        replica.do(replica.machine.barrier_confirmed(replica.barriers.pop().barrier, LogPosition(H, 6), 0))
-        self.assertEqual(replica.bodies(1), [])  # what was asked in the old history is not answered
+        replica.carry_out(
+            replica.machine.barrier_confirmed(replica.barriers.pop().barrier, LogPosition(HISTORY, 6), 0)
+        )
+        self.assertEqual(replica.bodies(1), [])  # heartbeats of the old history are not answered
         replica.confirm(LogPosition("history-2", 1))
         replica.heartbeat(1, 2)
         replica.confirm(LogPosition("history-2", 1))
         self.assertEqual(replica.answered(1), [2])
 
-    def test_a_change_too_large_to_be_written_to_all_at_once_is_a_snapshot(self) -> None:
+    def test_a_too_large_change_is_sent_as_a_snapshot(self) -> None:
         replica = Replica(state(3, 5), ReplicaLimits(most_delta_bytes=500))
         replica.hello(1)
         replica.bodies(1)
@@ -635,7 +642,7 @@
         replica.commit(change(5))
         self.assertEqual(replica.bodies(1), ["delta"])
 
-    def test_a_slow_reader_is_cut_and_the_others_are_not(self) -> None:
+    def test_only_a_slow_reader_is_disconnected(self) -> None:
         replica = Replica(state(0, 1), ReplicaLimits(most_queued_bytes=4000))
         replica.hello(1)
         replica.hello(2)
@@ -646,25 +653,25 @@
         self.assertLess(replica.bytes[1], 5000)
         self.assertNotIn(2, replica.closed)
         self.assertEqual(replica.bodies(2).count("delta"), 199)
-        replica.do(replica.machine.queued(2, 4001, replica.now))
+        replica.carry_out(replica.machine.queued(2, 4001, replica.now))
         self.assertEqual(replica.closed[2].reason, pb.READER_TOO_SLOW)
 
-    def test_a_reader_that_never_takes_its_snapshot_frees_its_place(self) -> None:
-        limits = ReplicaLimits(snapshots_at_once=1, snapshot_window_bytes=1, snapshot_within_us=3000 * MS)
+    def test_a_reader_that_stalls_its_snapshot_is_disconnected_and_frees_its_slot(self) -> None:
+        limits = ReplicaLimits(snapshots_at_once=1, snapshot_window_bytes=1, snapshot_timeout_us=3000 * MS)
         replica = Replica(state(0, 1000), limits)
         replica.hello(1)
         replica.hello(2)
-        replica.pass_time(2500 * MS)
+        replica.advance(2500 * MS)
         self.assertEqual(replica.bodies(2).count("snapshot_part"), 0)
         replica.heartbeat(2, 1)
-        replica.pass_time(2500 * MS)
+        replica.advance(2500 * MS)
         replica.drain(2)
         self.assertEqual(replica.closed[1].reason, pb.READER_TOO_SLOW)
         self.assertIn("snapshot_part", replica.bodies(2))
 
-    def test_what_is_not_allowed_is_rejected_with_its_reason(self) -> None:
+    def test_invalid_frames_are_rejected_with_a_reason(self) -> None:
         replica = Replica(state(3))
-        replica.do(replica.machine.accepted(1, replica.now))
+        replica.carry_out(replica.machine.accepted(1, replica.now))
         replica.heartbeat(1, 1)  # before a Hello
         replica.hello(2)
         replica.receive(2, Frame(hello=Hello(protocol=1, gateway="g2", life="1")))  # twice
@@ -675,46 +682,46 @@
         replica.heartbeat(4, 5)  # a sequence that does not grow
         replica.hello(5, "g" * 129)
         self.assertEqual({replica.closed[n].reason for n in range(1, 6)}, {pb.BAD_FRAME})
-        replica.do(replica.machine.accepted(6, replica.now))
+        replica.carry_out(replica.machine.accepted(6, replica.now))
         replica.receive(6, Frame(hello=Hello(protocol=2, gateway="g", life="1")))
         self.assertEqual(replica.closed[6].reason, pb.PROTOCOL_VERSION)
         for reader, data, reason in ((7, b"GET / HTTP", pb.FRAME_TOO_LARGE), (8, b"\0\0\0\1x", pb.BAD_FRAME)):
-            replica.do(replica.machine.accepted(reader, replica.now))
+            replica.carry_out(replica.machine.accepted(reader, replica.now))
             try:
                 FrameDecoder(MOST_TO_REPLICA).feed(data)
             except FrameError as error:
-                replica.do(replica.machine.unreadable(reader, error, replica.now))
+                replica.carry_out(replica.machine.unreadable(reader, error, replica.now))
             self.assertEqual((replica.closed[reader].reason, replica.bodies(reader)), (reason, ["reject"]))
-        replica.do(replica.machine.accepted(9, replica.now))
-        replica.pass_time(LIMITS.hello_within_us + 1)
+        replica.carry_out(replica.machine.accepted(9, replica.now))
+        replica.advance(LIMITS.hello_timeout_us + 1)
         self.assertEqual(replica.closed[9].reason, pb.BAD_FRAME)
         self.assertEqual(replica.machine.report(replica.now).readers, ())
 
-    def test_gateways_and_strangers_are_bounded_and_a_name_has_one_connection(self) -> None:
+    def test_limits_gateways_and_unidentified_connections_and_replaces_by_name(self) -> None:
         replica = Replica(state(3))
         for reader in range(4):
             replica.hello(reader)
         self.assertEqual({n: c.reason for n, c in replica.closed.items()}, {3: pb.REPLICA_FULL})
-        replica.hello(4, "g1")  # the gateway came back before its old connection was missed
+        replica.hello(4, "g1")  # the gateway reconnected before its old connection timed out
         self.assertEqual(replica.closed[1].reason, pb.REPLACED)
         self.assertNotIn(4, replica.closed)
         for reader in range(100, 100 + LIMITS.most_unknown + 1):
-            replica.do(replica.machine.accepted(reader, replica.now))
+            replica.carry_out(replica.machine.accepted(reader, replica.now))
         self.assertEqual(replica.closed[100 + LIMITS.most_unknown].reason, pb.REPLICA_FULL)
         self.assertEqual(len(replica.machine.report(replica.now).readers), 3 + LIMITS.most_unknown)
 
-    def test_a_silent_reader_is_cut_and_all_are_sent_away_at_the_end(self) -> None:
+    def test_disconnects_silent_readers_and_rejects_all_at_shutdown(self) -> None:
         replica = Replica(state(3))
         replica.hello(1)
         replica.hello(2)
-        replica.pass_time(LIMITS.silence_us // 2)
+        replica.advance(LIMITS.silence_timeout_us // 2)
         replica.heartbeat(2, 1)
-        replica.pass_time(LIMITS.silence_us // 2 + 2000 * MS)
+        replica.advance(LIMITS.silence_timeout_us // 2 + 2000 * MS)
         self.assertEqual(list(replica.closed), [1])
-        replica.do(replica.machine.shut_down(replica.now))
+        replica.carry_out(replica.machine.shut_down(replica.now))
         self.assertEqual(replica.closed[2].reason, pb.SHUTTING_DOWN)
 
-    def test_who_serves_what_is_told_as_counts_and_the_names_of_those_behind(self) -> None:
+    def test_reports_gateway_counts_by_version_and_names_behind(self) -> None:
         whole = state(3)
         whole.policies, whole.active = [Version(n, "d", "{}", 5) for n in (1, 2, 3)], 2
         replica = Replica(whole, ReplicaLimits())
@@ -727,15 +734,15 @@
         self.assertEqual(len(replica.machine.serving_report().behind), MOST_REPORTED)
         for reader in range(29):
             replica.heartbeat(reader, 2, 3)
-        replica.do(replica.machine.disconnected(0, replica.now))
+        replica.carry_out(replica.machine.disconnected(0, replica.now))
         report = replica.machine.serving_report()
         self.assertEqual(report, ServingReport(29, ((1, 1), (3, 28)), ("g29",)))
-        replica.pass_time(200 * MS)
+        replica.advance(200 * MS)
         self.assertEqual(replica.barriers[-1].report, report)
         readers = replica.machine.report(replica.now).readers
-        self.assertEqual(Counter(reader.serving for reader in readers), Counter({3: 28, 1: 1}))
+        self.assertEqual(Counter(reader.serving_version for reader in readers), Counter({3: 28, 1: 1}))
 
-    def test_a_replica_that_observes_tells_upwards_what_its_gateways_serve(self) -> None:
+    def test_an_observing_replica_reports_the_versions_of_its_gateways(self) -> None:
         whole = state(3)
         whole.policies, whole.active = [Version(n, "d", "{}", 5) for n in (1, 2)], 2
         replica, relay = Replica(whole), Gateway(relay=True)
@@ -743,7 +750,7 @@
         replica.heartbeat(1, 1, 2)
         relay.connect()
         relay.observer.relayed = ServingReport(70, ((1, 1), (2, 69)), ("far",))
-        relay.beat()
+        relay.send_heartbeat()
         replica.hello(2)
         replica.receive(2, relay.sent[-1])
         report = replica.machine.serving_report()
@@ -751,10 +758,10 @@
         summary = ServingSummary(gateways=5, behind=["g"] * 50)
         replica.receive(2, Frame(heartbeat=Heartbeat(sequence=99, relayed=summary)))
         self.assertEqual(len(replica.machine.serving_report().behind), MOST_REPORTED)
-        replica.do(replica.machine.disconnected(2, replica.now))
+        replica.carry_out(replica.machine.disconnected(2, replica.now))
         self.assertEqual(replica.machine.serving_report(), ServingReport(1, ((2, 1),), ()))
 
-    def test_a_herd_of_a_thousand_is_bounded_and_settles(self) -> None:
+    def test_snapshots_to_a_thousand_simultaneous_readers_are_rate_limited(self) -> None:
         limits = ReplicaLimits(
             most_gateways=1000, most_unknown=1000, snapshots_at_once=8, snapshot_bytes_s=1 << 20,
             snapshot_window_bytes=1 << 16,
@@ -764,33 +771,33 @@
         began = replica.now
         for reader in range(1000):
             replica.hello(reader)
-        done, waiting_told, most_waiting = set[int](), Counter[str](), 0
+        done, queue_notices, max_waiting = set[int](), Counter[str](), 0
         while len(done) < 1000:
-            replica.pass_time(20 * MS)
+            replica.advance(20 * MS)
             phases = Counter(r.phase for r in replica.machine.report(replica.now).readers)
             self.assertLessEqual(phases["snapshot"], 8)
-            most_waiting = max(most_waiting, phases["queued"])
+            max_waiting = max(max_waiting, phases["queued"])
             for reader in list(replica.written):
                 bodies = replica.bodies(reader)
-                waiting_told.update(b for b in bodies if b == "snapshot_queued")
+                queue_notices.update(b for b in bodies if b == "snapshot_queued")
                 if bodies.count("snapshot_part"):
                     done.add(reader)
                 replica.drain(reader)
             spent = sum(replica.bytes.values())
             seconds = (replica.now - began) / 1e6
-            overhead = 1000 * 40 + waiting_told["snapshot_queued"] * 8
+            overhead = 1000 * 40 + queue_notices["snapshot_queued"] * 8
             self.assertLessEqual(spent, (seconds + 0.2) * limits.snapshot_bytes_s + overhead + size)
         took = (replica.now - began) / 1e6
         self.assertLess(took, 1000 * size / limits.snapshot_bytes_s * 1.2 + 1)
-        self.assertGreater(most_waiting, 900)
-        self.assertGreater(waiting_told["snapshot_queued"], 1000)  # nobody waits in silence
+        self.assertGreater(max_waiting, 900)
+        self.assertGreater(queue_notices["snapshot_queued"], 1000)  # waiting readers are notified
         self.assertEqual(replica.closed, {})
         self.assertEqual(replica.machine.counts.snapshots, 1000)
-        self.assertIsNone(replica.machine._snapshots.present)  # nobody needs it any more
+        self.assertIsNone(replica.machine._snapshots.current)  # no reader needs it
 
 
 class Gateway:
-    """An observer with what it wants, and a replica's frames that the test makes up."""
+    """An observer with its recorded actions; the test supplies the replica's frames."""
 
     def __init__(self, count: int = 3, times: ObserverTimes | None = None, relay: bool = False) -> None:
         self.policy, self.now = PolicyStateMachine(RULES), 0
@@ -804,7 +811,7 @@
         self.pieces: list[TakeNodes] = []
         self.others: list[ObserverAction] = []
 
-    def do(self, actions: list[ObserverAction]) -> None:
+    def carry_out(self, actions: list[ObserverAction]) -> None:
         for action in actions:
             match action:
                 case Connect():
@@ -815,32 +822,32 @@
                     self.errors.append(action.error)
                 case TakePolicy():
                     self.taken.append(action.version.number)
-                    self.do(self.observer.policy_taken(action.version, True, self.now))
+                    self.carry_out(self.observer.policy_taken(action.version, True, self.now))
                 case TakeNodes():
                     self.pieces.append(action)
                 case _:
                     self.others.append(action)
 
     def receive(self, **frame: Any) -> None:
-        self.do(self.observer.received(Frame(**frame), self.now))
+        self.carry_out(self.observer.received(Frame(**frame), self.now))
 
     def tick(self) -> None:
-        self.do(self.observer.tick(self.now))
+        self.carry_out(self.observer.tick(self.now))
 
-    def pass_time(self, us: int) -> None:
+    def advance(self, us: int) -> None:
         until = self.now + us
         while (at := max(self.now, self.observer.next_at())) <= until:
             self.now = at
             self.tick()
         self.now = until
 
-    def connect(self, history: str = H, resumed: bool = False) -> Hello:
-        """Connect to the next replica and be welcomed."""
+    def connect(self, history: str = HISTORY, resumed: bool = False) -> Hello:
+        """Connect to the next replica and receive its Welcome."""
         before = len(self.connects)
         while len(self.connects) == before:
             self.now = max(self.now, self.observer.next_at())
             self.tick()
-        self.do(self.observer.connected(self.now))
+        self.carry_out(self.observer.connected(self.now))
         hello = self.sent[-1].hello
         self.receive(welcome=Welcome(replica=self.connects[-1], history=history, resumed=resumed))
         return hello
@@ -848,16 +855,16 @@
     def snapshot(self, whole: ReplicatedState, parts: int | None = None) -> None:
         snapshot = Snapshot(whole)
         for n in range(snapshot.parts if parts is None else parts):
-            self.do(self.observer.received(frames(snapshot.frame(n))[0], self.now))
+            self.carry_out(self.observer.received(frames(snapshot.frame(n))[0], self.now))
 
-    def answer(self, number: int, history: str = H) -> None:
+    def answer(self, number: int, history: str = HISTORY) -> None:
         """Answer the last heartbeat."""
         sequence = self.sent[-1].heartbeat.sequence
         position = Position(history=history, number=number)
         self.receive(heartbeat_answer=HeartbeatAnswer(sequence=sequence, position=position))
 
-    def beat(self) -> None:
-        self.do(self.observer.heartbeat(self.now)[1])
+    def send_heartbeat(self) -> None:
+        self.carry_out(self.observer.heartbeat(self.now)[1])
 
 
 def policies(whole: ReplicatedState, active: int, newest: int) -> ReplicatedState:
@@ -866,8 +873,8 @@
     return whole
 
 
-class Observers(unittest.TestCase):
-    def test_a_gateway_serves_once_a_heartbeat_after_its_snapshot_was_answered(self) -> None:
+class ObserverStateMachines(unittest.TestCase):
+    def test_a_gateway_serves_after_a_heartbeat_following_its_snapshot_is_answered(self) -> None:
         gateway = Gateway()
         hello = gateway.connect()
         self.assertFalse(hello.HasField("resume"))
@@ -877,16 +884,16 @@
         gateway.answer(7)
         self.assertTrue(gateway.policy.serves(gateway.now))
         gateway.receive(delta=Delta(number=8, activated=3))
-        self.assertEqual((gateway.taken, gateway.observer.position), ([2, 3], LogPosition(H, 8)))
-        gateway.pass_time(RULES.validity_us)
+        self.assertEqual((gateway.taken, gateway.observer.position), ([2, 3], LogPosition(HISTORY, 8)))
+        gateway.advance(RULES.validity_us)
         self.assertFalse(gateway.policy.serves(gateway.now))
 
-    def test_a_list_is_handed_on_in_pieces_and_small_changes_at_once(self) -> None:
+    def test_delivers_a_list_in_pieces_and_small_changes_immediately(self) -> None:
         gateway = Gateway()
         gateway.connect()
         gateway.snapshot(state(7, 300))
         self.assertEqual(gateway.pieces, [])
-        gateway.receive(delta=change(8, 5))  # behind the list that is being handed on
+        gateway.receive(delta=change(8, 5))  # queued after the list being delivered
         self.assertEqual(gateway.observer.next_at(), 0)
         counts = []
         while gateway.observer.next_at() == 0:
@@ -901,38 +908,38 @@
         self.assertEqual([p.nodes[0].name for p in gateway.pieces[4:]], ["n5"])
         many = [node_message(item(n)) for n in range(200)]
         gateway.receive(delta=Delta(number=10, nodes=NodeChanges(index=1, whole=True, nodes=many)))
-        gateway.pass_time(0)
+        gateway.advance(0)
         shape = [(p.whole, p.first, p.last, len(p.nodes)) for p in gateway.pieces[5:]]
         self.assertEqual(shape, [(True, True, False, 128), (True, False, True, 72)])
         gateway.receive(delta=Delta(number=11, nodes=NodeChanges(index=2, whole=True)))  # an empty list
         self.assertEqual(len(gateway.pieces[-1].nodes), 0)
 
-    def test_a_snapshot_that_is_cut_off_counts_for_nothing(self) -> None:
+    def test_an_incomplete_snapshot_is_discarded(self) -> None:
         gateway = Gateway()
         gateway.connect()
         gateway.snapshot(policies(state(7, 300), 1, 1), parts=4)
-        gateway.do(gateway.observer.disconnected(gateway.now))
+        gateway.carry_out(gateway.observer.disconnected(gateway.now))
         self.assertEqual((gateway.taken, gateway.pieces), ([], []))
         self.assertFalse(gateway.connect().HasField("resume"))
         self.assertNotEqual(gateway.connects[0], gateway.connects[1])
         gateway.snapshot(policies(state(8, 300), 1, 1))
-        self.assertEqual(gateway.observer.position, LogPosition(H, 8))
+        self.assertEqual(gateway.observer.position, LogPosition(HISTORY, 8))
 
-    def test_a_state_with_a_lower_number_is_not_taken(self) -> None:
+    def test_a_state_with_a_lower_number_is_not_loaded(self) -> None:
         gateway = Gateway()
         gateway.connect()
         gateway.snapshot(policies(state(7), 2, 2))
-        gateway.do(gateway.observer.disconnected(gateway.now))
-        self.assertEqual(gateway.connect().resume, Position(history=H, number=7))
+        gateway.carry_out(gateway.observer.disconnected(gateway.now))
+        self.assertEqual(gateway.connect().resume, Position(history=HISTORY, number=7))
         gateway.snapshot(policies(state(6), 1, 2))
         self.assertIsInstance(gateway.errors[-1], ReplicaBehindError)
-        self.assertEqual((gateway.observer.position, gateway.taken), (LogPosition(H, 7), [2]))
+        self.assertEqual((gateway.observer.position, gateway.taken), (LogPosition(HISTORY, 7), [2]))
         gateway.connect()
-        self.assertEqual(len(set(gateway.connects)), 3)  # another replica each time
+        self.assertEqual(len(set(gateway.connects)), 3)  # a different replica each time
         gateway.snapshot(policies(state(7), 2, 2))
         self.assertEqual((gateway.observer.link, gateway.pieces), (Link.LIVE, []))
 
-    def test_a_stream_with_a_gap_is_left_and_resumed(self) -> None:
+    def test_a_stream_with_a_gap_is_dropped_and_resumed(self) -> None:
         gateway = Gateway()
         gateway.connect()
         gateway.snapshot(state(7))
@@ -940,21 +947,21 @@
         self.assertIsInstance(gateway.errors[-1], StreamGapError)
         self.assertEqual(gateway.connect(resumed=True).resume.number, 7)
         gateway.receive(delta=change(8))
-        gateway.answer(9)  # confirmed, and never sent
+        gateway.answer(9)  # confirmed, but never sent
         self.assertIsInstance(gateway.errors[-1], StreamGapError)
         self.assertFalse(gateway.policy.heartbeat_valid(gateway.now))
         gateway.connect(history="history-2", resumed=True)
         self.assertIsInstance(gateway.errors[-1], FrameUnexpectedError)
 
-    def test_an_answer_counts_for_a_heartbeat_of_this_connection_alone(self) -> None:
+    def test_an_answer_counts_only_for_a_heartbeat_of_the_same_connection(self) -> None:
         gateway = Gateway()
         gateway.connect()
         gateway.snapshot(state(7))
         old = gateway.sent[-1].heartbeat.sequence
-        gateway.do(gateway.observer.disconnected(gateway.now))
+        gateway.carry_out(gateway.observer.disconnected(gateway.now))
         gateway.connect(resumed=True)
         for sequence in (old, gateway.sent[-1].heartbeat.sequence + 1):
-            position = Position(history=H, number=7)
+            position = Position(history=HISTORY, number=7)
             gateway.receive(heartbeat_answer=HeartbeatAnswer(sequence=sequence, position=position))
             self.assertIsInstance(gateway.errors[-1], FrameUnexpectedError)
             gateway.connect(resumed=True)
@@ -962,116 +969,115 @@
         gateway.answer(7)
         self.assertTrue(gateway.policy.heartbeat_valid(gateway.now))
 
-    def test_a_heartbeat_counts_from_its_sending_however_late_the_answer(self) -> None:
+    def test_heartbeat_validity_starts_when_the_heartbeat_is_sent(self) -> None:
         gateway = Gateway(times=ObserverTimes(silence=10_000 * MS))
         gateway.connect()
         gateway.snapshot(state(7))
         sent_at = gateway.now
-        gateway.now += 800 * MS  # without a tick: no other heartbeat
+        gateway.now += 800 * MS  # without a tick, so no other heartbeat is sent
         gateway.answer(7)
         self.assertTrue(gateway.policy.heartbeat_valid(sent_at + 899 * MS))
         self.assertFalse(gateway.policy.heartbeat_valid(sent_at + 900 * MS))
-        gateway.beat()
+        gateway.send_heartbeat()
         gateway.now += 900 * MS
         gateway.answer(7)
         self.assertFalse(gateway.policy.heartbeat_valid(gateway.now))
 
-    def test_another_history_is_taken_once_it_is_confirmed(self) -> None:
+    def test_another_history_is_adopted_once_it_is_confirmed(self) -> None:
         gateway = Gateway()
         gateway.connect()
         gateway.snapshot(policies(state(7, 3), 2, 2))
         gateway.answer(7)
-        gateway.pass_time(0)
-        gateway.do(gateway.observer.disconnected(gateway.now))
+        gateway.advance(0)
+        gateway.carry_out(gateway.observer.disconnected(gateway.now))
         gateway.connect(history="history-2")
         gateway.snapshot(policies(state(2, 2, "history-2"), 1, 1))
         gateway.receive(delta=change(3))
-        self.assertEqual((gateway.observer.position, gateway.taken), (LogPosition(H, 7), [2]))
-        gateway.do(gateway.observer.disconnected(gateway.now))  # never confirmed: nothing was taken
-        self.assertEqual(gateway.connect(history="history-2").resume, Position(history=H, number=7))
+        self.assertEqual((gateway.observer.position, gateway.taken), (LogPosition(HISTORY, 7), [2]))
+        gateway.carry_out(gateway.observer.disconnected(gateway.now))  # never confirmed: nothing was applied
+        self.assertEqual(gateway.connect(history="history-2").resume, Position(history=HISTORY, number=7))
         gateway.snapshot(policies(state(2, 2, "history-2"), 1, 1))
         gateway.receive(delta=change(3))
-        self.assertTrue(gateway.policy.serves(gateway.now))  # by the old history's heartbeat
+        self.assertTrue(gateway.policy.serves(gateway.now))  # by the heartbeat of the old history
         self.assertEqual(gateway.policy.serving.number, 2)
         gateway.answer(3, "history-2")
         self.assertEqual((gateway.observer.position, gateway.taken), (LogPosition("history-2", 3), [2, 1]))
         self.assertTrue(gateway.policy.serves(gateway.now))
-        gateway.pass_time(0)
+        gateway.advance(0)
         self.assertEqual(gateway.observer.position.number, 3)
 
-    def test_what_is_served_stays_until_the_new_history_has_an_active_version(self) -> None:
+    def test_keeps_the_serving_version_until_the_new_history_has_an_active_one(self) -> None:
         gateway = Gateway()
         gateway.connect()
         gateway.snapshot(policies(state(7), 2, 2))
-        gateway.do(gateway.observer.disconnected(gateway.now))
+        gateway.carry_out(gateway.observer.disconnected(gateway.now))
         gateway.connect(history="history-2")
         gateway.snapshot(state(0, 0, "history-2"))
         gateway.answer(0, "history-2")
-        self.assertEqual(
-            gateway.policy.serving, Version(0, "d2", "{}", 5)
-        )  # its number says nothing any more
+        # The version's number belongs to the old history.
+        self.assertEqual(gateway.policy.serving, Version(0, "d2", "{}", 5))
         self.assertTrue(gateway.policy.serves(gateway.now))
         version = PolicyVersion(number=1, digest="new", body="{}", after_us=5)
         gateway.receive(delta=Delta(number=1, committed=version))
         gateway.receive(delta=Delta(number=2, activated=1))
         self.assertEqual(gateway.taken, [2, 1])
 
-    def test_a_replica_that_is_silent_is_left_for_the_next(self) -> None:
+    def test_moves_from_a_silent_replica_to_the_next(self) -> None:
         gateway = Gateway()
         times = gateway.observer.times
-        gateway.pass_time(0)
-        gateway.pass_time(times.connect_within)
+        gateway.advance(0)
+        gateway.advance(times.connect_timeout_us)
         self.assertIsInstance(gateway.errors[-1], ReplicaSilentError)  # no connection
         while gateway.observer.link is Link.WAITING:
-            gateway.pass_time(10 * MS)
-        gateway.do(gateway.observer.connected(gateway.now))
-        gateway.pass_time(times.welcome_within)
+            gateway.advance(10 * MS)
+        gateway.carry_out(gateway.observer.connected(gateway.now))
+        gateway.advance(times.welcome_timeout_us)
         self.assertIsInstance(gateway.errors[1], ReplicaSilentError)  # no welcome
         gateway.connect()
         gateway.snapshot(state(7))
         gateway.answer(7)
-        gateway.pass_time(RULES.heartbeat_every_us)
+        gateway.advance(RULES.heartbeat_every_us)
         for _ in range(20):
-            gateway.receive(delta=change(gateway.observer.position.number + 1))  # changes are no answers
-            gateway.pass_time(times.silence // 16)
+            gateway.receive(delta=change(gateway.observer.position.number + 1))  # changes are not answers
+            gateway.advance(times.silence // 16)
         self.assertIsInstance(gateway.errors[2], ReplicaSilentError)
         self.assertEqual(len(set(gateway.connects[:3])), 3)
 
-    def test_waiting_for_a_snapshot_is_no_silence_as_long_as_the_replica_says_so(self) -> None:
+    def test_queue_notices_keep_a_connection_that_waits_for_its_snapshot(self) -> None:
         gateway = Gateway()
         gateway.connect()
         for _ in range(10):
-            gateway.pass_time(1000 * MS)
+            gateway.advance(1000 * MS)
             gateway.receive(snapshot_queued=SnapshotQueued(ahead=5))
         self.assertEqual(gateway.errors, [])
-        gateway.pass_time(gateway.observer.times.silence)
+        gateway.advance(gateway.observer.times.silence)
         self.assertIsInstance(gateway.errors[0], ReplicaSilentError)
 
-    def test_a_rejection_leads_to_the_next_and_delays_grow_until_a_connection_lasts(self) -> None:
+    def test_rejections_try_the_next_replica_and_backoff_resets_after_a_stable_connection(self) -> None:
         gateway = Gateway()
         for _ in range(30):
             gateway.connect()
             gateway.receive(reject=Reject(reason=pb.REPLICA_FULL, detail="full", retry_after_ms=1000))
         self.assertIsInstance(gateway.errors[-1], ReplicaRejectedError)
         self.assertIn("REPLICA_FULL: full", str(gateway.errors[-1]))
-        self.assertEqual(set(Counter(gateway.connects).values()), {10})  # each in its turn
+        self.assertEqual(set(Counter(gateway.connects).values()), {10})  # all replicas in turn
         self.assertGreater(gateway.now, 15_000 * MS)
         gateway.connect()
         gateway.snapshot(state(1))
-        until = gateway.now + gateway.observer.times.good_after
+        until = gateway.now + gateway.observer.times.stable_after_us
         while gateway.now < until:
-            gateway.beat()
+            gateway.send_heartbeat()
             gateway.answer(1)
-            gateway.pass_time(100 * MS)
+            gateway.advance(100 * MS)
         before = gateway.now
-        gateway.do(gateway.observer.disconnected(gateway.now))
+        gateway.carry_out(gateway.observer.disconnected(gateway.now))
         self.assertLessEqual(gateway.observer.next_at() - before, gateway.observer.times.backoff_base)
 
-    def test_frames_that_are_not_allowed_end_the_connection_once(self) -> None:
+    def test_invalid_frames_end_the_connection_once(self) -> None:
         for frame in (
             {"delta": change(1)},
             {"heartbeat_answer": HeartbeatAnswer(sequence=1)},
-            {"welcome": Welcome(history=H)},
+            {"welcome": Welcome(history=HISTORY)},
             {"hello": Hello()},
             {"snapshot_part": SnapshotPart(part=3, parts=9)},
         ):
@@ -1079,16 +1085,16 @@
             gateway.connect()
             gateway.receive(**frame)
             self.assertEqual(len(gateway.errors), 1, frame)
-            gateway.receive(**frame)  # what was still under way
-            gateway.do(gateway.observer.disconnected(gateway.now))
+            gateway.receive(**frame)  # a frame that was still in flight
+            gateway.carry_out(gateway.observer.disconnected(gateway.now))
             self.assertEqual(len(gateway.errors), 1)
         gateway = Gateway()
         gateway.connect()
         gateway.snapshot(state(7))
-        gateway.receive(delta=Delta(number=8))  # a change of a later release must not be passed over
+        gateway.receive(delta=Delta(number=8))  # an unknown change of a later release must not be skipped
         self.assertEqual(gateway.observer.position.number, 7)
 
-    def test_what_waits_to_be_handed_on_is_bounded(self) -> None:
+    def test_pending_changes_are_bounded(self) -> None:
         gateway = Gateway()
         gateway.connect()
         gateway.snapshot(state(1, 300))
@@ -1097,12 +1103,12 @@
             number += 1
             gateway.receive(delta=Delta(number=number, nodes=NodeChanges(index=number, nodes=nodes)))
             self.assertLess(number, 100)
-        self.assertEqual(gateway.observer.position.number, number - 1)  # where it resumes
-        gateway.pass_time(0)
+        self.assertEqual(gateway.observer.position.number, number - 1)  # the position to resume from
+        gateway.advance(0)
         self.assertEqual(gateway.pieces[-1].index, number - 1)
         self.assertTrue(gateway.pieces[-1].last)
 
-    def test_a_replica_that_observes_passes_the_state_on_whole(self) -> None:
+    def test_an_observing_replica_forwards_the_whole_state(self) -> None:
         gateway = Gateway(relay=True)
         gateway.connect()
         whole = policies(state(7, 300), 2, 3)
--- a/tests/test_control_plane_machine.py
+++ b/tests/test_control_plane_machine.py
@@ -1,4 +1,4 @@
-"""The control plane's replicas and observers under faults, as a state machine; see control_plane_world.py."""
+"""Stateful property tests of replicas and observers under faults, on control_plane_world.py."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 REPLICAS = st.sampled_from(["r0", "r1", "r2"])
 GATEWAYS = st.integers(0, 2)
-SHORT = st.integers(0, 250)  # ms
-BRIEF = st.integers(0, 75)
+SHORT_MS = st.integers(0, 250)
+BRIEF_MS = st.integers(0, 75)
 RATES = st.tuples(*[st.sampled_from([1 - DRIFT, 1.0, 1 + DRIFT])] * 3)
 SETTINGS = settings(
     max_examples=40,
@@ -38,7 +38,7 @@
 
 
 class ControlPlane(RuleBasedStateMachine):
-    """Faults and changes in any order. The invariants are held whenever time passes."""
+    """Faults and changes in any order. Invariants are checked whenever time advances."""
 
     replica_class: type[ReplicaStateMachine] = ReplicaStateMachine
     world: World
@@ -67,11 +67,11 @@
         self.world.run(AFTER_US)
         self.world.activate()
 
-    @rule(number=GATEWAYS, before=SHORT, between=SHORT, first=st.booleans(), policy=st.booleans())
+    @rule(number=GATEWAYS, before=SHORT_MS, between=SHORT_MS, first=st.booleans(), policy=st.booleans())
     def isolate_around_a_change(
         self, number: int, before: int, between: int, first: bool, policy: bool
     ) -> None:
-        """A gateway whose last heartbeat was answered shortly before or after a change hears nothing."""
+        """Isolate a gateway whose last heartbeat was answered shortly before or after a change."""
         gateway = self.world.gateways[number]
         if policy:
             self.world.propose()
@@ -87,9 +87,9 @@
         self.world.run(VALIDITY_US + 200 * MS)
         gateway.isolated = False
 
-    @rule(number=GATEWAYS, before=SHORT, under_way=BRIEF, between=BRIEF)
+    @rule(number=GATEWAYS, before=SHORT_MS, under_way=BRIEF_MS, between=BRIEF_MS)
     def answer_a_barrier_after_a_change(self, number: int, before: int, under_way: int, between: int) -> None:
-        """A replica hears late of a barrier that was committed before a change, and not of the change."""
+        """A lagging replica applies a barrier that was committed before a change, but not the change."""
         self.world.run(before * MS)
         gateway = self.world.gateways[number]
         if gateway.connection is None or gateway.connection.replica.is_old():
@@ -109,7 +109,7 @@
         gateway.isolated = replica.lagging = False
 
     @rule(isolated=st.booleans(), slow=st.booleans())
-    def trouble_between_a_relay_and_its_voter(self, isolated: bool, slow: bool) -> None:
+    def disturb_relay_uplink(self, isolated: bool, slow: bool) -> None:
         uplink = self.world.relay.uplink
         uplink.isolated, uplink.slow = isolated, slow
 
@@ -134,12 +134,12 @@
         self.world.replicas[name].cut = cut
 
     @rule(name=REPLICAS, lagging=st.booleans())
-    def hold_replica_back(self, name: str, lagging: bool) -> None:
+    def make_replica_lag(self, name: str, lagging: bool) -> None:
         self.world.replicas[name].lagging = lagging
 
     @rule(name=REPLICAS)
-    def replica_gets_a_snapshot_of_the_library(self, name: str) -> None:
-        self.world.replicas[name].jump()
+    def install_library_snapshot(self, name: str) -> None:
+        self.world.replicas[name].install_library_snapshot()
 
     @rule(name=REPLICAS)
     def restart_replica(self, name: str) -> None:
@@ -149,9 +149,9 @@
     def restart_gateway(self, number: int) -> None:
         self.world.restart_gateway(self.world.gateways[number])
 
-    @rule(number=GATEWAYS, told_gateway=st.booleans(), told_replica=st.booleans())
-    def lose_connection(self, number: int, told_gateway: bool, told_replica: bool) -> None:
-        self.world.cut(self.world.gateways[number], told_gateway, told_replica)
+    @rule(number=GATEWAYS, notify_gateway=st.booleans(), notify_replica=st.booleans())
+    def lose_connection(self, number: int, notify_gateway: bool, notify_replica: bool) -> None:
+        self.world.cut(self.world.gateways[number], notify_gateway, notify_replica)
 
     @rule(number=GATEWAYS, stalled=st.booleans())
     def stall_connection(self, number: int, stalled: bool) -> None:
@@ -160,10 +160,10 @@
             connection.stalled = stalled
 
     @precondition(lambda self: len(self.world.histories) < 4)
-    @rule(left_behind=st.lists(REPLICAS, max_size=2, unique=True), moved_after=SHORT)
-    def begin_history_anew(self, left_behind: list[str], moved_after: int) -> None:
-        """Some replicas know nothing of it, and gateways come to them from others."""
-        self.world.begin_anew([self.world.replicas[name] for name in left_behind])
+    @rule(left_behind=st.lists(REPLICAS, max_size=2, unique=True), moved_after=SHORT_MS)
+    def restart_history(self, left_behind: list[str], moved_after: int) -> None:
+        """Start a new history unknown to some replicas, to which gateways then reconnect from others."""
+        self.world.restart_history([self.world.replicas[name] for name in left_behind])
         self.world.publish(True, 2)
         self.world.run((100 + moved_after) * MS)
         for gateway in self.world.gateways:
@@ -177,24 +177,24 @@
 
 
 class AnswersWithoutABarrier(ReplicaStateMachine):
-    """Planted fault: a heartbeat is answered at once, at the position that this replica has."""
+    """Injected fault: heartbeats are answered without a barrier, at the replica's own position."""
 
     def received(self, reader: int, frame: Frame, now: int) -> list[ReplicaAction]:
         actions = super().received(reader, frame, now)
-        known = self._readers.get(reader)
-        if frame.WhichOneof("body") == "heartbeat" and known is not None and self._state is not None:
-            if known.phase.value != "live":
+        session = self._readers.get(reader)
+        if frame.WhichOneof("body") == "heartbeat" and session is not None and self._state is not None:
+            if session.phase.value != "live":
                 return actions
             self._barriers.forget(reader)
-            here = self._state.position
-            position = Position(history=here.history, number=here.number)
+            own_position = self._state.position
+            position = Position(history=own_position.history, number=own_position.number)
             answer = HeartbeatAnswer(sequence=frame.heartbeat.sequence, position=position)
             actions.append(Write(reader, encode(Frame(heartbeat_answer=answer))))
         return actions
 
 
 class EmptiesOneChange(ReplicaStateMachine):
-    """Planted fault: of each fifth change only the number is passed on."""
+    """Injected fault: every fifth change of nodes is sent without its nodes."""
 
     def committed(self, number: int, delta: Delta, now: int) -> list[ReplicaAction]:
         if number % 5 == 0 and delta.WhichOneof("change") == "nodes":
@@ -203,7 +203,7 @@
 
 
 class LosesOneChange(ReplicaStateMachine):
-    """Planted fault: each fifth change is not written to those who are connected."""
+    """Injected fault: every fifth change is not written to connected readers."""
 
     lost = 0
 
@@ -215,31 +215,31 @@
         return [action for action in actions if not isinstance(action, Write)]
 
 
-def machine(replica: type[ReplicaStateMachine]) -> type[RuleBasedStateMachine]:
-    """The state machine over replicas of this class."""
+def machine_for(replica: type[ReplicaStateMachine]) -> type[RuleBasedStateMachine]:
+    """The rule-based state machine with replicas of this class."""
     return type(f"ControlPlaneOf{replica.__name__}", (ControlPlane,), {"replica_class": replica})
 
 
-def hold(rules: type[RuleBasedStateMachine]) -> None:
-    """Play the rules; AssertionError where an invariant does not hold."""
+def run_rules(rules: type[RuleBasedStateMachine]) -> None:
+    """Run the rules. Raises AssertionError if an invariant is violated."""
     run_state_machine_as_test(rules, settings=SETTINGS)  # type: ignore[no-untyped-call]
 
 
 class ControlPlaneMachine(unittest.TestCase):
-    def test_the_invariants_hold_under_any_faults(self) -> None:
-        hold(ControlPlane)
+    def test_invariants_hold_under_faults(self) -> None:
+        run_rules(ControlPlane)
 
-    def test_a_replica_that_answers_without_a_barrier_is_found(self) -> None:
-        self.found(AnswersWithoutABarrier, "valid|active since|ended")
+    def test_detects_a_replica_that_answers_without_a_barrier(self) -> None:
+        self.assert_detected(AnswersWithoutABarrier, "valid|active since|ended")
 
-    def test_a_replica_that_empties_a_change_is_found(self) -> None:
-        self.found(EmptiesOneChange, "nodes differ")
+    def test_detects_a_replica_that_empties_a_change(self) -> None:
+        self.assert_detected(EmptiesOneChange, "nodes differ")
 
-    def found(self, replica: type[ReplicaStateMachine], message: str) -> None:
+    def assert_detected(self, replica: type[ReplicaStateMachine], message: str) -> None:
         with self.assertRaisesRegex(AssertionError, message):
-            hold(machine(replica))
+            run_rules(machine_for(replica))
 
-    def test_a_change_that_is_not_written_is_noticed_and_fetched(self) -> None:
+    def test_gateways_detect_and_refetch_a_change_that_was_not_written(self) -> None:
         world = World(1, (1.0, 1.0, 1.0), LosesOneChange)
         world.publish(True, 3)
         world.run(500 * MS)
@@ -250,4 +250,4 @@
         errors: list[Any] = [hangup.error for gateway in world.gateways for hangup in gateway.hangups]
         self.assertTrue(LosesOneChange.lost)
         self.assertTrue(any(isinstance(error, StreamGapError) for error in errors), errors)
-        self.assertEqual(LIMITS.most_log_entries, 4)
+        self.assertEqual(LIMITS.max_log_entries, 4)
--- a/tests/test_control_plane_processes.py
+++ b/tests/test_control_plane_processes.py
@@ -1,4 +1,4 @@
-"""The control plane as processes on loopback: three voters, a replica that does not vote, two gateways."""
+"""The control plane in processes on loopback: three voters, a non-voting replica and two gateways."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from stackrouter.errors import FrameTooLargeError, FrameUnreadableError, NotReadyError
 from tests.control_group import READ_S, VALID_S, ControlGroup, RawConnection
 
-IN_FORCE_S = 7.0  # the operators' bound, with the delay, an election and a change of replica in it
+IN_FORCE_S = 7.0  # the bound promised to operators; includes the delay, an election and a change of replica
 
 
 def is_answer(frame: Frame) -> bool:
@@ -27,7 +27,7 @@
 
 
 class ControlPlaneProcesses(unittest.TestCase):
-    """One group for all: each test leaves it whole."""
+    """All tests share one group; each restores it."""
 
     group: ControlGroup
 
@@ -55,7 +55,7 @@
             lambda: self.group.control(voter)["barriers_failed"] >= before + more, "barriers do not fail"
         )
 
-    def test_a_policy_and_a_change_of_the_list_take_hold_everywhere(self) -> None:
+    def test_a_policy_and_a_list_change_reach_all_processes(self) -> None:
         group = self.group
         version = group.propose("c1")
         self.await_version(version)
@@ -65,14 +65,14 @@
         )
 
         def reported() -> dict[int, int]:
-            """Gateways by version, as the voters tell, those of the replica that does not vote with them."""
+            """Gateways by version from the reports of all replicas, voting or not."""
             counts: dict[int, int] = {}
             for report in group.json("c2", "policy status")["replicas"].values():
                 for number, count in report["by_version"]:
                     counts[number] = counts.get(number, 0) + count
             return counts
 
-        group.wait_for(lambda: reported() == {version: 2}, "the replicas' reports do not tell")
+        group.wait_for(lambda: reported() == {version: 2}, "the replicas' reports lack gateways")
         group.follow()
         calls = group.discovery.calls
         group.discovery.change("s-4", status="draining")
@@ -84,7 +84,7 @@
         self.assertIn("replica c1 (voter), ready", group.command("control", "status", "c1"))
         self.assertIn("gateway g1, replica ", group.command("control", "status", "g1"))
 
-    def test_a_version_is_activated_though_the_leader_is_killed_after_its_commit(self) -> None:
+    def test_a_version_is_activated_after_the_leader_is_killed(self) -> None:
         group = self.group
         leader = group.leader()
         proposer = next(name for name in group.voters if name != leader)
@@ -101,12 +101,12 @@
         group = self.group
         cut = self.replica_of("g1")
         voter = cut if cut in group.voters else "c1"
-        raw = group.by_hand(voter)
+        raw = group.connect_raw(voter)
         raw.heartbeat(1)
         self.assertTrue(raw.read(is_answer, 2.0))
         group.cut_off(voter, True)
         try:
-            self.await_failed_barriers(voter, 1)  # so none from before the cut is under way
+            self.await_failed_barriers(voter, 1)  # so that no barrier from before the cut is in flight
             raw.heartbeat(2)
             self.await_failed_barriers(voter, 2)
             raw.read(is_answer, READ_S)
@@ -120,7 +120,7 @@
             raw.close()
         group.settle()
 
-    def test_a_gateway_whose_replica_is_killed_goes_to_another_and_never_back_in_the_stream(self) -> None:
+    def test_a_gateway_whose_replica_is_killed_moves_to_another_and_keeps_its_position(self) -> None:
         group = self.group
         replica = self.replica_of("g1")
         before = group.control("g1")["position"]
@@ -128,18 +128,18 @@
         seen: list[int] = []
 
         def moved() -> bool:
-            told = group.control("g1")
-            seen.append(told["position"])
-            return bool(told["replica"] not in ("", replica) and told["heartbeat_valid"])
+            status = group.control("g1")
+            seen.append(status["position"])
+            return bool(status["replica"] not in ("", replica) and status["heartbeat_valid"])
 
-        took_s = group.wait_for(moved, "g1 has no other replica")
-        self.assertLess(took_s, VALID_S + 4.0)
+        elapsed_s = group.wait_for(moved, "g1 has no other replica")
+        self.assertLess(elapsed_s, VALID_S + 4.0)
         self.assertEqual(seen, sorted(seen))
         self.assertGreaterEqual(seen[0], before)
         group.start(replica)
         group.settle()
 
-    def test_a_stranger_on_the_port_gets_one_error_and_nothing_else_is_harmed(self) -> None:
+    def test_foreign_bytes_on_the_port_get_one_error_and_affect_nothing_else(self) -> None:
         group = self.group
         before = {g: group.control(g)["hangups"] for g in group.gateways}
         too_large = (MOST_TO_REPLICA + 1).to_bytes(4, "big")
@@ -167,7 +167,7 @@
         self.assertEqual(before, {g: group.control(g)["hangups"] for g in group.gateways})
         self.assertTrue(all(group.ready(g) for g in group.gateways))
 
-    def test_without_the_control_plane_a_gateway_refuses_or_serves_as_its_file_says(self) -> None:
+    def test_without_the_control_plane_a_gateway_refuses_or_serves_as_configured(self) -> None:
         group = self.group
         for gateway in group.gateways:
             self.assertEqual(group.request(gateway)[:1], b"$")
@@ -182,16 +182,16 @@
         group.settle()
         self.assertEqual(group.request("g1")[:1], b"$")
 
-    def test_a_replica_that_is_stopped_says_so_and_exits_with_0(self) -> None:
+    def test_a_stopped_replica_rejects_its_readers_and_exits_with_0(self) -> None:
         group = self.group
-        raw = group.by_hand("c3")
-        began = time.monotonic()
+        raw = group.connect_raw("c3")
+        started_at = time.monotonic()
         group.programs["c3"].terminate()
         self.assertTrue(raw.read(lambda frame: frame.WhichOneof("body") == "reject", 2.0))
         self.assertEqual(raw.frames[-1].reject.detail, "this replica is stopping")
         raw.close()
         group.wait_for(lambda: group.programs["c3"].poll() is not None, "c3 does not exit")
         self.assertEqual(group.programs["c3"].returncode, 0)
-        self.assertLess(time.monotonic() - began, 3.0)
+        self.assertLess(time.monotonic() - started_at, 3.0)
         group.start("c3")
         group.settle()
--- a/tests/test_control_sockets.py
+++ b/tests/test_control_sockets.py
@@ -1,4 +1,4 @@
-"""The control plane's sockets in one process: a replica's listener, observers, a gateway's list."""
+"""Sockets of the control plane in one process: a replica's listener, observers, a gateway's node list."""
 
 from __future__ import annotations
 
@@ -50,18 +50,18 @@
 NODES = 3000
 
 
-def wait_for(so: Callable[[], object], otherwise: str) -> None:
-    with gevent.Timeout(WAIT_S, AssertionError(otherwise)):
-        while not so():
+def wait_for(condition: Callable[[], object], failure: str) -> None:
+    with gevent.Timeout(WAIT_S, AssertionError(failure)):
+        while not condition():
             gevent.sleep(0.005)
 
 
 class ReplicaInProcess:
-    """A listener whose quorum confirms each barrier at once, or none while `silent`."""
+    """A listener with a quorum that confirms each barrier immediately, or none while `silent`."""
 
     def __init__(self, name: str, limits: ReplicaLimits = LIMITS, nodes: int = NODES) -> None:
         self.machine, self.silent = ReplicaStateMachine(name, limits), False
-        self.reports: list[ServingReport] = []  # that came with barriers
+        self.reports: list[ServingReport] = []  # received with barriers
         self.server = ControlServer(self.machine, ("127.0.0.1", 0), boottime_us, Counters(),
                                     self.start_barrier, lambda: None)  # fmt: skip
         held = {f"n{i}": Node(name=f"n{i}", address="h:1", status="up") for i in range(nodes)}
@@ -81,18 +81,18 @@
         self.server.call(self.machine.committed, number, Delta(number=number, **change))
 
     def commit_policy(self, body: str) -> None:
-        number = self.position.number + 1  # serves as the version's number too: they only have to grow
+        number = self.position.number + 1  # also the version's number, which only has to increase
         self.commit(committed=PolicyVersion(number=number, digest="d", body=body, after_us=1))
         self.commit(activated=number)
 
 
 class Sink:
-    """Notes what it was given; refuses the policy "bad"."""
+    """Records what it receives; rejects the policy "bad"."""
 
     def __init__(self) -> None:
         self.bodies: list[str] = []
         self.nodes: dict[str, str] = {}
-        self.index, self.most_in_piece = -1, 0
+        self.index, self.max_in_piece = -1, 0
 
     def take_policy(self, body: str) -> None:
         if body == "bad":
@@ -103,7 +103,7 @@
         if piece.first and piece.whole:
             self.nodes = {}
         self.nodes |= {node.name: node.status for node in piece.nodes}
-        self.most_in_piece = max(self.most_in_piece, len(piece.nodes))
+        self.max_in_piece = max(self.max_in_piece, len(piece.nodes))
         if piece.last:
             self.index = piece.index
 
@@ -129,11 +129,11 @@
         self.addCleanup(client.stop)
         return client, sink
 
-    def test_a_list_comes_in_pieces_then_changes_and_versions_one_by_one(self) -> None:
+    def test_delivers_a_list_in_pieces_then_single_changes_and_versions(self) -> None:
         replica = self.replica()
         client, sink = self.observer("g", replica)
         wait_for(lambda: sink.index == 7, "the list has not come")
-        self.assertEqual((len(sink.nodes), sink.most_in_piece <= 128), (NODES, True))
+        self.assertEqual((len(sink.nodes), sink.max_in_piece <= 128), (NODES, True))
         replica.commit(nodes=NodeChanges(index=8, nodes=[Node(name="n1", status="draining")]))
         replica.commit_policy("one")
         replica.commit_policy("bad")
@@ -145,23 +145,24 @@
         figures, served = client.figures(), replica.server.figures()
         self.assertEqual((figures.position, figures.replica), (replica.position, "a"))
         wait_for(
-            lambda: replica.machine.serving_report().by_version == ((7, 1),), "it has not told what it serves"
+            lambda: replica.machine.serving_report().by_version == ((7, 1),),
+            "it has not reported its version",
         )
         self.assertEqual((client.policy.serving.number, served.connections), (7, 1))
 
-    def test_a_refused_version_is_told_upwards_and_the_older_one_is_served(self) -> None:
+    def test_reports_a_rejected_version_and_serves_under_the_older_one(self) -> None:
         replica = self.replica()
         client, _ = self.observer("g", replica)
         replica.commit_policy("bad")
 
-        def told() -> bool:
+        def reported() -> bool:
             report = replica.machine.report(boottime_us())
-            return [reader.failed for reader in report.readers] == [2]
+            return [reader.failed_version for reader in report.readers] == [2]
 
-        wait_for(told, "the failure was not told")
+        wait_for(reported, "the failure was not reported")
         self.assertFalse(client.policy.ready(client.clock()))
 
-    def test_a_replica_whose_last_gateway_has_left_tells_so_once_and_then_nothing(self) -> None:
+    def test_reports_once_that_the_last_gateway_has_left(self) -> None:
         replica = self.replica()
         client, _ = self.observer("g", replica)
         wait_for(client.heartbeat_valid, "no valid heartbeat")
@@ -172,7 +173,7 @@
         wait_for(lambda: replica.machine.next_at() > due, "no sweep came")
         self.assertEqual(len(replica.reports), barriers)
 
-    def test_an_observer_leaves_a_replica_that_confirms_nothing_and_resumes_at_another(self) -> None:
+    def test_an_observer_moves_from_a_replica_without_quorum_and_resumes_at_another(self) -> None:
         first, second = self.replica("a"), self.replica("b")
         client, sink = self.observer("g", first, second)
         wait_for(lambda: sink.index == 7 and client.heartbeat_valid(), "no valid heartbeat")
@@ -183,7 +184,7 @@
         self.assertTrue(client.heartbeat_valid())
         self.assertEqual((far.machine.counts.resumed, far.machine.counts.snapshots), (1, 0))
 
-    def test_a_replica_that_observes_another_confirms_again_as_soon_as_it_has_a_third(self) -> None:
+    def test_an_observing_replica_confirms_again_after_it_moves_to_another_replica(self) -> None:
         first, second = self.replica("a"), self.replica("b")
         source = ReplicaSource()
         limits = ReplicaLimits(barrier_interval_us=10_000, barrier_timeout_us=10**9)
@@ -209,13 +210,13 @@
         wait_for(lambda: sink.index == 7 and client.heartbeat_valid(), "nothing comes through the relay")
         near = first if relay.figures().replica == "a" else second
         near.silent = True
-        wait_for(lambda: source._asked, "no barrier is under way")
+        wait_for(lambda: source._pending_barriers, "no barrier is pending")
         answers = machine.counts.answers
         near.server.stop()
         wait_for(lambda: machine.counts.answers > answers, "the relay confirms nothing any more")
         self.assertEqual(client.figures().connections, 1)
 
-    def test_a_reader_that_never_drains_its_connection_is_cut_and_nobody_else(self) -> None:
+    def test_disconnects_only_the_reader_that_never_drains_its_connection(self) -> None:
         replica = self.replica(limits=ReplicaLimits(barrier_interval_us=10_000, most_queued_bytes=1 << 20))
         client, sink = self.observer("good", replica)
         wait_for(lambda: sink.index == 7, "the list has not come")
@@ -226,13 +227,15 @@
             body = f"{number:0100000d}"
             replica.commit(committed=PolicyVersion(number=1000 + number, body=body, after_us=10**12))
             wait_for(lambda: client.figures().position == replica.position, "the good one lacks changes")
-        wait_for(lambda: replica.machine.serving_report().gateways == 1, "the slow reader is not cut")
-        cut = replica.server.counters["control.rejected_reader_too_slow"]
-        self.assertEqual(cut, 1)
+        wait_for(
+            lambda: replica.machine.serving_report().gateways == 1, "the slow reader is not disconnected"
+        )
+        disconnects = replica.server.counters["control.rejected_reader_too_slow"]
+        self.assertEqual(disconnects, 1)
         self.assertEqual(client.figures().hangups, 0)
         wait_for(lambda: not replica.server._lingering[0].open, "the connection is not closed")
 
-    def test_why_a_connection_ends_is_read_also_by_one_that_goes_on_sending(self) -> None:
+    def test_a_peer_that_keeps_sending_receives_the_reason_of_a_rejection(self) -> None:
         replica = self.replica(limits=ReplicaLimits(most_gateways=1))
         one, two = RawConnection(replica.server.address[1]), RawConnection(replica.server.address[1])
         wait_for(lambda: replica.machine.report(boottime_us()).ready, "the replica is not ready")
@@ -249,8 +252,8 @@
         two.close()
         wait_for(replica.server.idle, "connections are left")
 
-    def test_connections_past_the_bound_are_closed_and_leave_room_again(self) -> None:
-        replica = self.replica(limits=ReplicaLimits(most_gateways=1, most_unknown=20, hello_within_us=10**9))
+    def test_closes_connections_over_the_limit_and_accepts_new_ones_later(self) -> None:
+        replica = self.replica(limits=ReplicaLimits(most_gateways=1, most_unknown=20, hello_timeout_us=10**9))
         socks = [socket.create_connection(replica.server.address) for _ in range(25)]
         rejected = "control.rejected_replica_full"
         wait_for(lambda: replica.server.counters[rejected] == 5, "more than the bound were taken")
@@ -266,8 +269,8 @@
     return Hello(protocol=1, gateway=name, life="1")
 
 
-class GatewaysList(unittest.TestCase):
-    """When a gateway takes the list from the control plane, and when it asks discovery itself."""
+class GatewayList(unittest.TestCase):
+    """When a gateway takes the list from the control plane, and when it queries discovery itself."""
 
     def setUp(self) -> None:
         self.lists: list[dict[str, Any]] = []
@@ -286,62 +289,64 @@
     def wait_for_lists(self) -> None:
         wait_for(lambda: not self.gateway.lists_pending, "a list has not come to the engine")
 
-    def asked(self, index: int) -> None:
+    def discovery_answered(self, index: int) -> None:
         self.gateway.told(None, {"index": index, "endpoints": []})
 
-    def asks(self) -> bool:
+    def queries_discovery(self) -> bool:
         return self.gateway.wait_s() == 0.0
 
-    def test_it_asks_until_a_list_comes_and_again_once_none_has_come_for_long(self) -> None:
-        self.assertTrue(self.asks())
-        self.asked(5)
-        self.assertTrue(self.asks())
+    def test_queries_discovery_before_the_first_list_and_after_a_stale_one(self) -> None:
+        self.assertTrue(self.queries_discovery())
+        self.discovery_answered(5)
+        self.assertTrue(self.queries_discovery())
         self.take(6, True, "a", "b")
-        self.assertFalse(self.asks())
-        self.assertEqual([(told["index"], len(told["endpoints"])) for told in self.lists], [(6, 2)])
+        self.assertFalse(self.queries_discovery())
+        self.assertEqual([(listing["index"], len(listing["endpoints"])) for listing in self.lists], [(6, 2)])
         self.now = 900_000
         self.take(7, False)
         self.now = 1_800_000
-        self.assertFalse(self.asks())
+        self.assertFalse(self.queries_discovery())
         self.now = 1_900_000
-        self.assertTrue(self.asks())
+        self.assertTrue(self.queries_discovery())
 
-    def test_what_was_missed_is_asked_for_at_once(self) -> None:
-        self.take(6, True, "a")  # it has no list of its own yet: not taken
-        self.asked(5)  # an older list than the control plane's
-        self.assertTrue(self.asks())
+    def test_queries_discovery_immediately_after_a_missed_change(self) -> None:
+        self.take(6, True, "a")  # it has no list from discovery yet: not applied
+        self.discovery_answered(5)  # an older list than the control plane's
+        self.assertTrue(self.queries_discovery())
         self.take(7, False, "b")  # builds on 6
-        self.assertEqual((self.lists, self.asks()), ([], True))
-        self.asked(7)
+        self.assertEqual((self.lists, self.queries_discovery()), ([], True))
+        self.discovery_answered(7)
         self.take(8, False, "c")
-        self.assertEqual(([told["index"] for told in self.lists], self.asks()), ([8], False))
+        self.assertEqual(
+            ([listing["index"] for listing in self.lists], self.queries_discovery()), ([8], False)
+        )
 
-    def test_pieces_are_put_together_and_a_new_whole_list_begins_anew(self) -> None:
-        self.asked(1)
+    def test_joins_pieces_and_discards_an_unfinished_list(self) -> None:
+        self.discovery_answered(1)
         for name, first, last in (("old", True, False), ("a", True, False), ("b", False, True)):
             nodes = [Node(name=name, status="up")]
             self.gateway.take_nodes(TakeNodes(2, True, first, last, nodes))
         self.wait_for_lists()
-        self.assertEqual([[e["name"] for e in told["endpoints"]] for told in self.lists], [["a", "b"]])
+        self.assertEqual([[e["name"] for e in listing["endpoints"]] for listing in self.lists], [["a", "b"]])
 
-    def test_a_long_list_from_the_event_loop_comes_in_pieces_and_changes_stay_behind_it(self) -> None:
-        told: list[tuple[int, list[str]]] = []
+    def test_delivers_a_long_list_in_pieces_from_the_event_loop_before_later_changes(self) -> None:
+        delivered: list[tuple[int, list[str]]] = []
 
-        def tell(kind: object, version: int, entries: Sequence[NodeEntry], _: object) -> None:
-            told.append((version, [entry.node for entry in entries]))
+        def record(kind: object, version: int, entries: Sequence[NodeEntry], _: object) -> None:
+            delivered.append((version, [entry.node for entry in entries]))
 
-        discovery = Discovery(("127.0.0.1", 1), Listing([], [], 0), Counters(), tell, known=1)
+        discovery = Discovery(("127.0.0.1", 1), Listing([], [], 0), Counters(), record, known=1)
         self.gateway._discovery = discovery
-        self.asked(1)
+        self.discovery_answered(1)
         names = [f"n{number}" for number in range(1_000)]
         nodes = [Node(name=name, address="127.0.0.1:1", status="up") for name in names]
         change = [Node(name="new", address="127.0.0.1:1", status="up")]
 
-        def come() -> None:
+        def deliver() -> None:
             self.gateway.take_nodes(TakeNodes(2, True, True, True, nodes))
             self.gateway.take_nodes(TakeNodes(3, False, True, True, change))
 
-        gevent.get_hub().loop.run_callback(come)  # as the client's sockets and timers do
-        wait_for(lambda: bool(told) and told[-1][1] == ["new"], "the change has not come")
-        self.assertLessEqual(max(len(entries) for _, entries in told), PIECE)
-        self.assertEqual([name for _, entries in told for name in entries], [*names, "new"])
+        gevent.get_hub().loop.run_callback(deliver)  # like callbacks of the client's sockets and timers
+        wait_for(lambda: bool(delivered) and delivered[-1][1] == ["new"], "the change has not come")
+        self.assertLessEqual(max(len(entries) for _, entries in delivered), PIECE)
+        self.assertEqual([name for _, entries in delivered for name in entries], [*names, "new"])
