--- a/stackrouter/controlplane/observer.py
+++ b/stackrouter/controlplane/observer.py
@@ -243,9 +243,9 @@
         except ControlError as error:
             return self._hang_up(error, now)
 
-    def policy_taken(self, version: Version, good: bool, now: int) -> list[ObserverAction]:
+    def policy_taken(self, version: Version, applied: bool, now: int) -> list[ObserverAction]:
         """Result of a TakePolicy action."""
-        self.policy.version_taken(version, now, good)
+        self.policy.version_taken(version, now, applied)
         return []
 
     def heartbeat(self, now: int) -> tuple[int, list[ObserverAction]]:
@@ -299,11 +299,11 @@
         if not self.replicas:
             self._link_at = now + self.times.backoff_most
             return []
-        self.replica = self._choose(now)
+        self.replica = self._choose_replica(now)
         self._change_link(Link.CONNECTING, now)
         return [Connect(self.replica)]
 
-    def _choose(self, now: int) -> ReplicaAddress:
+    def _choose_replica(self, now: int) -> ReplicaAddress:
         """The next replica in order whose retry delay is over; if there is none, the next one."""
         self._retry_not_before = {name: at for name, at in self._retry_not_before.items() if at > now}
         count = len(self.replicas)
--- a/stackrouter/controlplane/replica.py
+++ b/stackrouter/controlplane/replica.py
@@ -46,7 +46,7 @@
 
 PROTOCOL = 1
 MAX_NAME_CHARACTERS = 128  # of a gateway's name, life or history
-SWEEP_INTERVAL_US = 1_000_000  # interval between checks for silent, overdue and queued readers
+SWEEP_INTERVAL_US = 1_000_000  # between checks for silent, overdue and queued readers
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/control_plane_world.py
+++ b/tests/control_plane_world.py
@@ -170,7 +170,7 @@
         """Advance to the current time."""
         now = self.world.now
         rng = self.world.rng
-        if not self.cut and not self.is_old() and not (self.slow and rng.random() < 0.5):
+        if not self.cut and not self.has_old_history() and not (self.slow and rng.random() < 0.5):
             for command in self.pending:
                 self.history.commit(command, now, self.run_id)
             self.pending = []
@@ -189,7 +189,7 @@
         while self.applied < entry:
             self.apply(*self.history.log[self.applied])
 
-    def is_old(self) -> bool:
+    def has_old_history(self) -> bool:
         return self.history is not self.world.history
 
     def apply(self, command: Command, submitter: int) -> None:
@@ -207,7 +207,7 @@
 
     def install_library_snapshot(self) -> None:
         """Replace the ledger by a snapshot of the Raft library, instead of applying commands."""
-        if self.cut or self.is_old() or self.applied == len(self.history.log):
+        if self.cut or self.has_old_history() or self.applied == len(self.history.log):
             return
         skipped = [(c, a) for c, a in self.history.log[self.applied :] if isinstance(c, Barrier)]
         del self.barriers[: sum(submitter == self.run_id for _, submitter in skipped)]  # never answered
@@ -337,7 +337,7 @@
         if self.world.now >= self.machine.next_at():
             self.carry_out(self.machine.tick(self.world.now))
 
-    def is_old(self) -> bool:
+    def has_old_history(self) -> bool:
         return False
 
     def confirm(self, answer: HeartbeatConfirmed) -> None:
@@ -374,7 +374,7 @@
         self.rng, self.replica_class = Random(seed), replica_class
         self.now = 0
         self.connections: dict[int, Connection] = {}
-        self.connected = 0
+        self.last_connection = 0
         self.served = 0  # number of checks with a serving gateway; 0: the run tested nothing
         self.histories: list[History] = []
         self.begin_history()
@@ -430,9 +430,9 @@
         queue.append((max(at, queue[-1][0]) if queue else at, data))
 
     def connect(self, gateway: Gateway, name: str) -> None:
-        self.connected += 1
-        gateway.connection = Connection(self.connected, gateway, self.replicas[name])
-        self.connections[self.connected] = gateway.connection
+        self.last_connection += 1
+        gateway.connection = Connection(self.last_connection, gateway, self.replicas[name])
+        self.connections[self.last_connection] = gateway.connection
 
     def drop(self, connection: Connection | None, notify: bool = True) -> None:
         """End a connection; bytes in flight are lost. Without `notify` the replica is not notified."""
@@ -563,7 +563,7 @@
         """Clear all faults; then all gateways must reach the newest state and serve."""
         for replica in self.replicas.values():
             replica.cut = replica.lagging = replica.slow = False
-            if replica.is_old():
+            if replica.has_old_history():
                 replica.join()
         for gateway in (*self.gateways, self.relay.uplink):
             gateway.isolated = gateway.slow = False
--- a/tests/test_control_plane_machine.py
+++ b/tests/test_control_plane_machine.py
@@ -87,18 +87,18 @@
         self.world.run(VALIDITY_US + 200 * MS)
         gateway.isolated = False
 
-    @rule(number=GATEWAYS, before=SHORT_MS, under_way=BRIEF_MS, between=BRIEF_MS)
-    def answer_a_barrier_after_a_change(self, number: int, before: int, under_way: int, between: int) -> None:
+    @rule(number=GATEWAYS, before=SHORT_MS, in_flight=BRIEF_MS, between=BRIEF_MS)
+    def answer_a_barrier_after_a_change(self, number: int, before: int, in_flight: int, between: int) -> None:
         """A lagging replica applies a barrier that was committed before a change, but not the change."""
         self.world.run(before * MS)
         gateway = self.world.gateways[number]
-        if gateway.connection is None or gateway.connection.replica.is_old():
+        if gateway.connection is None or gateway.connection.replica.has_old_history():
             return
         if gateway.connection.replica is self.world.relay:
             return
         replica = gateway.connection.replica
         replica.lagging = True
-        self.world.run(under_way * MS)
+        self.world.run(in_flight * MS)
         entry = len(replica.history.log)
         self.world.publish(False, 1)
         self.world.run(between * MS)
