--- a/stackrouter/membership/__init__.py
+++ b/stackrouter/membership/__init__.py
@@ -1,1 +1,4 @@
-"""What this gateway knows of the nodes and how surely. No I/O: times are arguments, in microseconds."""
+"""Decides what is known of the storage nodes and how current it is.
+
+No I/O: times are arguments, in microseconds.
+"""
--- a/stackrouter/membership/list_changes.py
+++ b/stackrouter/membership/list_changes.py
@@ -1,19 +1,19 @@
-"""What a node list changes of the one that is in force, in pieces of bounded size. No I/O.
+"""Turns node lists into pieces of bounded size that hold only what differs from the list applied. No I/O.
 
-A whole list of many thousand nodes that is handed to the engine at once holds the event loop for as long as
-all of it takes. `ListChanges` compares each list with what it has handed on and gives out only what differs,
-at most `PIECE` entries at a time, so that the caller can let the event loop run in between:
+Passing a whole list of many thousand nodes to the engine in one call blocks the event loop for as long as
+that takes. `ListChanges` compares each list with what it has given out before and yields only the
+differences, at most `PIECE` entries at a time, so that the caller can let the event loop run in between:
 
-- first the nodes that must get nothing new (draining or removed), then those that are new or changed, and
-  those that a whole list no longer names only once all that it names have gone out;
-- a list that comes while an earlier one is under way is merged into what is left of it: of two entries about
-  one node only the newer goes out, and a whole list replaces everything that an earlier one had left;
-- a list of at most `PIECE` entries goes out as it came, if nothing is under way and a whole one replaces at
-  most `PIECE` nodes.
+- First the nodes that must get no new work (draining or removed), then those that are new or changed; nodes
+  that a whole list no longer names come last, after all that it names.
+- A list that arrives while an earlier one is in progress is merged into its remainder: of two entries about
+  one node only the newer is given out, and a whole list replaces everything left of an earlier one.
+- A list of at most `PIECE` entries is given out unmodified, if nothing is in progress and a whole one
+  replaces at most `PIECE` nodes.
 
-What `add` itself does with a whole list is two passes over names and states; all else is done piece by piece.
+`add` itself makes two passes over the names and states of a whole list; all else is done piece by piece.
 
-Memory: the nodes in force and the changes that are under way, one entry a node each.
+Memory: one entry a node for the list applied, and one a node for the changes in progress.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 from rackseam.interface import ListKind, NodeEntry, NodeState
 
-PIECE: Final = 256  # entries handed on at once
-COMPARED: Final = 256  # entries compared for one piece at most, where most are as they were
+PIECE: Final = 256  # maximum entries in a piece
+MAX_COMPARED_PER_PIECE: Final = 256  # bounds the work for a piece when most entries are unchanged
 
 Address = tuple[str, int]  # host and port
 
 
 @dataclass(frozen=True, slots=True)
 class Piece:
-    """What one call of `Engine.listed` is to be given."""
+    """The arguments for one call of `Engine.listed`."""
 
     kind: ListKind
     version: int
@@ -41,76 +41,80 @@
     addresses: Mapping[str, Address]
 
 
-class _Known(NamedTuple):
-    """One node as it was told: its entry and where it listens."""
+class _NodeRecord(NamedTuple):
+    """One node of a list: its entry and the address it listens on."""
 
     entry: NodeEntry
     address: Address
 
 
 @dataclass(slots=True)
-class _Whole:
-    """A whole list under way: those of its entries that are ready, then the nodes that it does not name."""
+class _FullList:
+    """A whole list in progress: its ready entries come first, then the nodes that it does not name."""
 
     entries: Sequence[NodeEntry]
     addresses: Mapping[str, Address]
-    named: set[str]
-    newer: set[str] = field(default_factory=set)  # nodes that a list after this one has told of
-    compared: int = 0  # how many of the entries
-    unnamed: Iterator[str] | None = None  # once all entries are compared
+    listed: set[str]
+    superseded: set[str] = field(default_factory=set)  # nodes that a later list has entries for
+    compared: int = 0  # number of entries compared so far
+    unlisted: Iterator[str] | None = None  # set once all entries are compared
 
 
 class ListChanges:
-    """The list in force, and what is still to be handed on of those that came."""
+    """The list applied so far, and what is still to be given out of the lists that arrived."""
 
     def __init__(self) -> None:
         self._version = 0
-        self._in_force: dict[str, _Known] = {}  # as handed on
-        # What is under way, in the order in which it goes out.
-        self._as_it_came: deque[Piece] = deque()  # without a comparison
-        self._stopping: dict[str, _Known] = {}  # draining or removed
-        self._changing: dict[str, _Known] = {}  # ready, from lists of changes
-        self._whole: _Whole | None = None
+        self._applied: dict[str, _NodeRecord] = {}  # as given out
+        # What is in progress, in the order in which it is given out.
+        self._unmodified: deque[Piece] = deque()  # pieces given out without a comparison
+        self._stopping: dict[str, _NodeRecord] = {}  # draining or removed
+        self._ready_changes: dict[str, _NodeRecord] = {}  # ready, from lists of changes
+        self._full_list: _FullList | None = None
 
     @property
     def pending(self) -> bool:
-        """Something is still to be handed on; it may turn out to be as it was."""
-        return bool(self._as_it_came or self._stopping or self._changing or self._whole)
+        """Whether something is left to compare or give out; it may prove to be unchanged."""
+        return bool(self._unmodified or self._stopping or self._ready_changes or self._full_list)
 
     def add(
         self, kind: ListKind, version: int, entries: Sequence[NodeEntry], addresses: Mapping[str, Address]
     ) -> None:
-        """A list that came: `addresses` has the address of each node that `entries` names.
+        """Add a list that arrived; `addresses` has the address of each node that `entries` names.
 
-        A cached list is what a starting gateway begins with: handed on as it came, whatever its size.
+        A cached list is what a gateway starts with: it is given out unmodified, whatever its size.
         """
         self._version = version
-        small = len(entries) <= PIECE and (kind is ListKind.DELTA or len(self._in_force) <= PIECE)
+        small = len(entries) <= PIECE and (kind is ListKind.DELTA or len(self._applied) <= PIECE)
         if kind in (ListKind.FAILED, ListKind.CACHED) or (small and not self.pending):
-            self._as_it_came.append(Piece(kind, version, entries, addresses))
+            self._unmodified.append(Piece(kind, version, entries, addresses))
             if kind is not ListKind.FAILED:
-                self._put_in_force(kind, entries, addresses)
+                self._apply_all(kind, entries, addresses)
         elif kind is ListKind.DELTA:
-            self._merge(_newest(entries), addresses)
+            self._merge(_latest_entries(entries), addresses)
         else:
-            self._replace(entries, addresses)
+            self._start_full_list(entries, addresses)
 
     def next_piece(self) -> Piece | None:
-        """What is to be handed on next; None: nothing is left.
+        """The next piece to apply; None: nothing is left.
 
-        A piece may be empty, where all that was compared for it is as it was.
+        A piece is empty if everything compared for it is unchanged.
         """
-        if self._as_it_came:
-            return self._as_it_came.popleft()
+        if self._unmodified:
+            return self._unmodified.popleft()
         if not self.pending:
             return None
-        changed: list[_Known] = []
+        changed: list[_NodeRecord] = []
         compared = 0
-        while compared < COMPARED and len(changed) < PIECE and (known := self._take_one()) is not None:
+        while (
+            compared < MAX_COMPARED_PER_PIECE
+            and len(changed) < PIECE
+            and (known := self._next_candidate()) is not None
+        ):
             compared += 1
-            if self._in_force.get(known.entry.node) != known:
+            if self._applied.get(known.entry.node) != known:
                 changed.append(known)
-                self._keep(known)
+                self._apply(known)
         entries = [known.entry for known in changed]
         addresses = {known.entry.node: known.address for known in changed}
         return Piece(ListKind.DELTA, self._version, entries, addresses)
@@ -118,67 +122,67 @@
     def _merge(self, newest: dict[str, NodeEntry], addresses: Mapping[str, Address]) -> None:
         for name, entry in newest.items():
             self._stopping.pop(name, None)
-            self._changing.pop(name, None)
-            if self._whole is not None:
-                self._whole.newer.add(name)
-            waiting = self._changing if entry.state is NodeState.READY else self._stopping
-            waiting[name] = _Known(entry, addresses[name])
-
-    def _replace(self, entries: Sequence[NodeEntry], addresses: Mapping[str, Address]) -> None:
-        named = {entry.node for entry in entries}
-        if len(named) < len(entries):
-            entries = list(_newest(entries).values())
+            self._ready_changes.pop(name, None)
+            if self._full_list is not None:
+                self._full_list.superseded.add(name)
+            waiting = self._ready_changes if entry.state is NodeState.READY else self._stopping
+            waiting[name] = _NodeRecord(entry, addresses[name])
+
+    def _start_full_list(self, entries: Sequence[NodeEntry], addresses: Mapping[str, Address]) -> None:
+        listed = {entry.node for entry in entries}
+        if len(listed) < len(entries):
+            entries = list(_latest_entries(entries).values())
         stopping = [entry for entry in entries if entry.state is not NodeState.READY]
-        self._stopping = {e.node: _Known(e, addresses[e.node]) for e in reversed(stopping)}
-        self._changing = {}
-        self._whole = _Whole(entries, addresses, named)
+        self._stopping = {e.node: _NodeRecord(e, addresses[e.node]) for e in reversed(stopping)}
+        self._ready_changes = {}
+        self._full_list = _FullList(entries, addresses, listed)
 
-    def _take_one(self) -> _Known | None:
-        """What is to be compared next, if anything is left."""
-        for waiting in (self._stopping, self._changing):
+    def _next_candidate(self) -> _NodeRecord | None:
+        """The next node to compare; None: nothing is left."""
+        for waiting in (self._stopping, self._ready_changes):
             if waiting:
                 return waiting.popitem()[1]
-        if self._whole is None:
+        if self._full_list is None:
             return None
-        known = self._next_ready(self._whole) or self._next_unnamed(self._whole)
+        known = self._next_ready(self._full_list) or self._next_unlisted(self._full_list)
         if known is None:
-            self._whole = None
+            self._full_list = None
         return known
 
-    def _next_ready(self, whole: _Whole) -> _Known | None:
+    def _next_ready(self, whole: _FullList) -> _NodeRecord | None:
         while whole.compared < len(whole.entries):
             entry = whole.entries[whole.compared]
             whole.compared += 1
-            if entry.state is NodeState.READY and entry.node not in whole.newer:
-                return _Known(entry, whole.addresses[entry.node])
+            if entry.state is NodeState.READY and entry.node not in whole.superseded:
+                return _NodeRecord(entry, whole.addresses[entry.node])
         return None
 
-    def _next_unnamed(self, whole: _Whole) -> _Known | None:
-        if whole.unnamed is None:
-            whole.unnamed = iter([name for name in self._in_force if name not in whole.named])
-        for name in whole.unnamed:
-            if name not in whole.newer and name in self._in_force:
-                known = self._in_force[name]
-                return _Known(replace(known.entry, state=NodeState.GONE), known.address)
+    def _next_unlisted(self, whole: _FullList) -> _NodeRecord | None:
+        if whole.unlisted is None:
+            whole.unlisted = iter([name for name in self._applied if name not in whole.listed])
+        for name in whole.unlisted:
+            if name not in whole.superseded and name in self._applied:
+                known = self._applied[name]
+                return _NodeRecord(replace(known.entry, state=NodeState.GONE), known.address)
         return None
 
-    def _put_in_force(
+    def _apply_all(
         self, kind: ListKind, entries: Sequence[NodeEntry], addresses: Mapping[str, Address]
     ) -> None:
         if kind is not ListKind.DELTA:
-            self._in_force = {}
-        for name, entry in _newest(entries).items():
-            self._keep(_Known(entry, addresses[name]))
+            self._applied = {}
+        for name, entry in _latest_entries(entries).items():
+            self._apply(_NodeRecord(entry, addresses[name]))
 
-    def _keep(self, known: _Known) -> None:
+    def _apply(self, known: _NodeRecord) -> None:
         if known.entry.state is NodeState.GONE:
-            self._in_force.pop(known.entry.node, None)
+            self._applied.pop(known.entry.node, None)
         else:
-            self._in_force[known.entry.node] = known
+            self._applied[known.entry.node] = known
 
 
-def _newest(entries: Sequence[NodeEntry]) -> dict[str, NodeEntry]:
-    """The last entry about each node; the latest start that any of them states."""
+def _latest_entries(entries: Sequence[NodeEntry]) -> dict[str, NodeEntry]:
+    """The last entry about each node, with the latest start time that any entry about it has."""
     newest = {entry.node: entry for entry in entries}
     if len(newest) == len(entries):
         return newest
--- a/stackrouter/membership/listing.py
+++ b/stackrouter/membership/listing.py
@@ -1,4 +1,4 @@
-"""Discovery's JSON in the decision module's words. No I/O; times are arguments."""
+"""Converts discovery's JSON lists into node entries of the decision module. No I/O; times are arguments."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from stackrouter.membership.list_changes import Address
 from stackrouter.membership.start_times import StartTimes
 
-READ_AT_ONCE = 256  # entries of an answer that are read before other greenlets may run
+ENTRIES_PER_PAUSE = 256  # entries parsed before other greenlets may run
 STATES = {"up": NodeState.READY, "draining": NodeState.DRAINING, "removed": NodeState.GONE}
 
 
 @dataclass(frozen=True, slots=True)
 class NodeList:
-    """A list as discovery gave it: all nodes (`whole`) or those that changed, and where each listens."""
+    """A list from discovery: all nodes (`whole`) or the changed ones, and the address of each."""
 
     version: int
     whole: bool
@@ -27,8 +27,8 @@
     def kind(self) -> ListKind:
         return ListKind.FULL if self.whole else ListKind.DELTA
 
-    def changed_by(self, changes: NodeList) -> NodeList:
-        """The whole list that results from this whole one and changes to it."""
+    def with_changes(self, changes: NodeList) -> NodeList:
+        """The whole list that results from applying `changes` to this whole list."""
         entries = {entry.node: entry for entry in self.entries}
         for entry in changes.entries:
             entries[entry.node] = entry
@@ -38,25 +38,27 @@
 
 
 class Listing:
-    """Reads lists of one discovery; keeps when each node started."""
+    """Parses the lists of one discovery service and remembers when each node started."""
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str], now_us: int, unix_us: int = 0) -> None:
-        """`now_us`: monotonic time; `unix_us`: what the machine's wall clock says then, right or wrong; 0:
-        there is none."""
+        """`now_us`: monotonic time; `unix_us`: the machine's wall clock at that time, which may be wrong; 0:
+        not known."""
         self._zones = {name: i for i, name in enumerate(zones)}
         self._kinds = {name: i for i, name in enumerate(kinds)}
         self._starts = StartTimes(now_us - unix_us)
 
     def read(self, raw: Any, now_us: int, pause: Callable[[], None] | None = None) -> NodeList:
-        """The list that came at `now_us`; what is malformed raises KeyError, TypeError, ValueError or
-        AttributeError. `pause` is called after each `READ_AT_ONCE` entries."""
+        """Parse a list that arrived at `now_us`. `pause` is called after each `ENTRIES_PER_PAUSE` entries.
+
+        KeyError, TypeError, ValueError, AttributeError: the list is malformed.
+        """
         items = raw.get("endpoints") or ()
         version, whole = int(raw["index"]), bool(raw.get("snapshot"))
-        self._starts.narrow((int(since) for item in items if (since := item.get("since_ms"))), now_us)
+        self._starts.observe_starts((int(since) for item in items if (since := item.get("since_ms"))), now_us)
         entries: list[NodeEntry] = []
         addresses: dict[str, Address] = {}
         for number, item in enumerate(items):
-            if pause is not None and number and not number % READ_AT_ONCE:
+            if pause is not None and number and not number % ENTRIES_PER_PAUSE:
                 pause()
             host, _, port = item["address"].rpartition(":")
             addresses[item["name"]] = (host, int(port))
--- a/stackrouter/net/__init__.py
+++ b/stackrouter/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: connections, rings, the listener, the node pool and discovery; knows no front."""
+"""Sockets: connections, ring buffers, the listener, the node pool and discovery; knows no front."""
--- a/stackrouter/net/client_socket.py
+++ b/stackrouter/net/client_socket.py
@@ -1,4 +1,4 @@
-"""A client's socket, private to its connection: reads, writes and ends that meet errors by one table."""
+"""A client's socket, private to its connection; transient errors are retried as in net.socket_errors."""
 
 from __future__ import annotations
 
@@ -8,45 +8,45 @@
 from gevent import socket
 
 from stackrouter.net.ring import Ring
-from stackrouter.net.socket_errors import repeat_passing
+from stackrouter.net.socket_errors import retry_transient
 
 
 class ClientSocket:
-    """One accepted TCP connection. OSError: it is broken."""
+    """One accepted TCP connection. OSError from any method: the connection is broken."""
 
     def __init__(self, sock: socket.socket) -> None:
-        """OSError: the client has gone already."""
+        """OSError: the client has disconnected already."""
         self._sock = sock
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def read(self, inbox: Ring) -> int:
-        """What has come; 0: the client has ended its sending."""
-        return repeat_passing(lambda: inbox.receive(self._sock))
+        """Receive once into the ring and return the byte count; 0: the client ended sending."""
+        return retry_transient(lambda: inbox.receive(self._sock))
 
     def write(self, outbox: Ring) -> int:
-        """As much of it as the socket takes, at least a byte."""
-        return repeat_passing(lambda: outbox.send(self._sock))
+        """Send as much of the ring as the socket takes, at least one byte; return the count."""
+        return retry_transient(lambda: outbox.send(self._sock))
 
     def write_all(self, data: bytes) -> None:
-        """A last word before the end; waits for a client that does not read."""
+        """Send all of `data`; blocks while the client does not read."""
         view = memoryview(data)
         while view:
-            view = view[repeat_passing(lambda rest=view: int(self._sock.send(rest))) :]  # type: ignore[misc]
+            view = view[retry_transient(lambda rest=view: int(self._sock.send(rest))) :]  # type: ignore[misc]
 
     def readable(self) -> bool:
-        """Bytes, an end or an error wait to be read."""
+        """Whether bytes, the end of the stream or an error are there to be read."""
         return self._poll(select.POLLIN)
 
     def hung_up(self) -> bool:
-        """The client has closed, seen past bytes that are not read now; or we have."""
+        """Whether the client has closed, detected even behind unread bytes, or this side has."""
         return self._sock.fileno() < 0 or self._poll(select.POLLRDHUP)
 
     def end_sending(self) -> None:
-        """The client sees the end behind all that was written; it may still be read from."""
+        """Shut down sending: the client sees the end after all written data; reading still works."""
         self._sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """At once, both ways."""
+        """Close both directions at once."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
--- a/stackrouter/net/discovery.py
+++ b/stackrouter/net/discovery.py
@@ -1,7 +1,7 @@
-"""The list of storage nodes, watched over HTTP. When what is asked is decided in membership.asking.
+"""Watches the list of storage nodes over HTTP; membership.asking decides when to call and for what.
 
-Each call runs in a greenlet of its own. One that has fallen silent is kept beside the next ones for a while:
-discovery may be slow, and its answer counts if no other has come since.
+Each call runs in a greenlet of its own. A call that has timed out is kept open beside the next ones for a
+while: discovery may be slow, and its answer counts if no other has arrived since.
 """
 
 from __future__ import annotations
@@ -29,186 +29,213 @@
     defect,
     tell,
 )
-from stackrouter.membership.asking import Asking, Call, Pace, Verdict
+from stackrouter.membership.asking import AnswerVerdict, Call, CallScheduler, CallTiming
 from stackrouter.membership.listing import Listing, NodeList
-from stackrouter.net.list_call import Address, ListConnection, left_s, monotonic_us
-from stackrouter.net.list_taker import ListTaker, Told, let_others_run
+from stackrouter.net.list_call import Address, ListConnection, monotonic_us, remaining_s
+from stackrouter.net.list_taker import ListHandler, ListTaker, yield_to_event_loop
 
 log = logging.getLogger(__name__)
 
-WAIT_US = 2_000_000  # how long a watch may stay silent. Short: what is told is taken as known 2 s after it
-# Where lists are asked for: how long an answer may take before the connection is given up. Long: a call that
-# waits its turn behind those of many and is given up costs discovery as much as one that is answered.
-ANSWER_US = 2_500_000
-WATCH_US = 1_200_000  # ... after a watch's wait: discovery holds it then, and it waits behind none
-LEAST_US = 800_000  # ... and at least, where calls before it have used up the time that news may take
-LOST_US = 100_000  # rest after a failed call: within the 200 ms in which a watch goes on
-LOST_MOST_US = 1_000_000  # ... which has already waited, or costs little
+WAIT_US = 2_000_000  # how long a watch may stay silent; short, since a change counts as known 2 s after it
+# Where lists are polled: how long an answer may take before the call is abandoned. Long, because a call that
+# is abandoned while queued behind those of many gateways costs discovery as much as an answered one.
+CALL_ANSWER_US = 2_500_000
+WATCH_ANSWER_US = 1_200_000  # after a watch's wait: discovery holds the call by then, so it is not queued
+MIN_ANSWER_US = 800_000  # lower limit when earlier calls have used up the time allowed for news
+RETRY_US = 100_000  # pause after a failed call: within the 200 ms in which a watch has to be reopened
+MAX_RETRY_US = 1_000_000  # longest pause after failed calls, which have waited already or cost little
 # Where lists are pushed, the agent on this machine answers at once and at no cost. After an outage a drain
-# that it has counts as told, and binds within the drain grace (250 ms). A call and a rest take 80 ms, so that
-# 150 ms are left in which the process may be held up.
-AGENT_US, AGENT_LOST_US = 50_000, 30_000
-AGENT_WATCH_US = AGENT_US  # a watch's answer after its wait: an outage may end just then
-AGENT_BODY_US = 40_000  # the rest of an answer; a long list on a busy machine comes late
-# How long a silent call may still be answered, beside the calls after it. Each other call to the agent ends
-# when it falls silent, so that few are under way.
-LATE_US = (5_000_000,)
-AGENT_LATE_US = (2_500_000, 0, 200_000, 0, 800_000, 0, 200_000, 0)
-UNDER_WAY_MOST = 8
-# Where lists are pushed, what the agent has binds from the first moment of a new process. So long the list
-# that the process was started with is held back for the agent's first answer: the drain grace and its slack,
-# by the end of which an agent that answers has done so; one that is silent has learned nothing since.
+# that the agent has counts as known, and is binding within the drain grace (250 ms). A call and a pause take
+# 80 ms, which leaves 150 ms for delays of the process.
+AGENT_CALL_ANSWER_US, AGENT_RETRY_US = 50_000, 30_000
+AGENT_WATCH_ANSWER_US = AGENT_CALL_ANSWER_US  # after a watch's wait, since an outage may end just then
+AGENT_BODY_US = 40_000  # for the rest of an answer: a long list on a busy machine is slow
+# How long a timed-out call may still be answered, beside the calls after it. Every second call to the agent
+# is cancelled when it times out, so that few are open.
+LATE_ANSWER_US = (5_000_000,)
+AGENT_LATE_ANSWER_US = (2_500_000, 0, 200_000, 0, 800_000, 0, 200_000, 0)
+MAX_OPEN_CALLS = 8
+# Where lists are pushed, what the agent has is binding from the first moment of a new process. The list that
+# the process was started with is held back for this long, waiting for the agent's first answer: the drain
+# grace and its slack. An agent that responds has answered by then; a silent one has learned nothing new.
 START_HOLD_S = 0.3
-AGENT_REFUSED_MOST_US = 500_000  # the agent serves this gateway alone: who comes again delays nobody
-# Calls a second that all gateways together make when they come back after being turned away: what is asked
-# beyond discovery's pace is turned away late, and delays all others by a turn.
-CALLS_S = 10.0
-NAMED_MOST = 8  # nodes that one log line names
-REFUSED_MOST_US = 5_200_000  # what discovery has counts as told 6 s later, heard or not
-
-
-def pace(gateways: int, pushed: bool = False) -> Pace:
-    """As many gateways as there are come back after being turned away, on the mean, `CALLS_S` calls a second
-    together: waits are drawn between half of the longest and the longest."""
-    apart_us = round(gateways / CALLS_S * 1e6 * 4 / 3)
-    refused_us = min(REFUSED_MOST_US, max(LOST_US, apart_us))
-    turned_away = refused_us, REFUSED_MOST_US
+AGENT_MAX_REFUSED_RETRY_US = 500_000  # the agent serves this gateway alone, so retries delay no other
+# Calls per second that all refused gateways together make when they retry: calls beyond discovery's capacity
+# are refused late, and each delays all others by the time it takes.
+RETRY_CALLS_PER_S = 10.0
+MAX_LOGGED_NODES = 8  # node names in one log line
+MAX_REFUSED_RETRY_US = 5_200_000  # a change counts as known 6 s after discovery had it, received or not
+
+
+def call_timing(gateways: int, pushed: bool = False) -> CallTiming:
+    """The time limits for a fleet of `gateways`.
+
+    Refused gateways retry at `RETRY_CALLS_PER_S` calls per second on average, all together: each pause is
+    drawn between half of the longest and the longest.
+    """
+    interval_us = round(gateways / RETRY_CALLS_PER_S * 1e6 * 4 / 3)
+    refused_retry_us = min(MAX_REFUSED_RETRY_US, max(RETRY_US, interval_us))
+    refused = refused_retry_us, MAX_REFUSED_RETRY_US
     if pushed:
-        agent = AGENT_WATCH_US, AGENT_US, AGENT_US, AGENT_BODY_US, AGENT_LOST_US, AGENT_LOST_US
-        return Pace(WAIT_US, *agent, AGENT_LOST_US, AGENT_REFUSED_MOST_US, AGENT_LATE_US, pushed=True)
-    return Pace(WAIT_US, WATCH_US, ANSWER_US, LEAST_US, 0, LOST_US, LOST_MOST_US, *turned_away, LATE_US)
+        agent = (
+            AGENT_WATCH_ANSWER_US,
+            AGENT_CALL_ANSWER_US,
+            AGENT_CALL_ANSWER_US,
+            AGENT_BODY_US,
+            AGENT_RETRY_US,
+            AGENT_RETRY_US,
+        )
+        return CallTiming(
+            WAIT_US, *agent, AGENT_RETRY_US, AGENT_MAX_REFUSED_RETRY_US, AGENT_LATE_ANSWER_US, pushed=True
+        )
+    return CallTiming(
+        WAIT_US,
+        WATCH_ANSWER_US,
+        CALL_ANSWER_US,
+        MIN_ANSWER_US,
+        0,
+        RETRY_US,
+        MAX_RETRY_US,
+        *refused,
+        LATE_ANSWER_US,
+    )
 
 
 class Fleet(Protocol):
-    """Other gateways, one of which asks discovery for all (coord.member); without it each asks for itself."""
+    """The other gateways, one of which calls discovery for all (coord.member).
+
+    Without it each gateway calls for itself.
+    """
 
     def wait_s(self) -> float:
-        """How long this gateway need not ask; 0: it is to ask now."""
+        """How long this gateway need not call discovery, in seconds; 0: it has to call now."""
 
     def told(self, base: int | None, listing: dict[str, Any]) -> None:
-        """Discovery answered: what changed after version `base`, None: the whole list."""
+        """Discovery answered with the changes since version `base`; None: with the whole list."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Heard:
+class _AnswerBegan:
     """The answer to a call has begun."""
 
     call: Call
 
 
 @dataclass(frozen=True, slots=True)
-class _Ended:
-    """A call has ended: with an answer's JSON or an error."""
+class _CallEnded:
+    """A call has ended with an answer's JSON or an exception."""
 
     call: Call
     outcome: Any
 
 
 @dataclass(frozen=True, slots=True)
-class _Moved:
-    """Discovery is elsewhere."""
+class _AddressChanged:
+    """Discovery has a new address."""
 
 
 class Discovery:
-    """Watches the list of one discovery and hands what it says to the engine.
+    """Watches the list of one discovery service and passes it to the engine.
 
-    `pushed`: an agent on this machine has the list, and what it has counts as told; else lists are asked for.
+    `pushed`: an agent on this machine has the list, and what it has counts as known; else lists are polled.
     """
 
-    def __init__(self, address: Address, listing: Listing, counters: Counters, told: Told,
+    def __init__(self, address: Address, listing: Listing, counters: Counters, handler: ListHandler,
                  known: int | None = None, seed: int = 0, gateways: int = 1,
                  pushed: bool = False) -> None:  # fmt: skip
         """`known`: the version of the list that the process was started with."""
         self.address, self.listing, self.counters, self.pushed = address, listing, counters, pushed
-        self.lists = ListTaker(told)
-        self.asking = Asking(pace(gateways, pushed), random.Random(seed), known)
-        self._size = 0  # nodes in the last whole list
-        self._failures = 0  # in a row
-        self._idle: ListConnection | None = None
-        self._events: SimpleQueue[_Heard | _Ended | _Moved] = SimpleQueue()
-        self._under_way: dict[Call, gevent.Greenlet[..., None]] = {}  # the last call, silent ones before it
-        self._first: NodeList | None = None  # the list of the start, while it is held back
-        self._moved = Event()
+        self.lists = ListTaker(handler)
+        self.scheduler = CallScheduler(call_timing(gateways, pushed), random.Random(seed), known)
+        self._last_full_size = 0  # nodes in the last whole list
+        self._failures = 0  # consecutive failed calls
+        self._idle_connection: ListConnection | None = None
+        self._events: SimpleQueue[_AnswerBegan | _CallEnded | _AddressChanged] = SimpleQueue()
+        self._open_calls: dict[Call, gevent.Greenlet[..., None]] = {}  # timed-out calls, then the last
+        self._startup_list: NodeList | None = None  # while it is held back
+        self._address_changed = Event()
         self.fleet: Fleet | None = None
 
     def start_with(self, known: NodeList) -> None:
-        """Serve by the list that the process was started with; where lists are pushed, not before the agent
-        had a chance to say what has changed since."""
+        """Serve from the list that the process was started with.
+
+        Where lists are pushed, not before the agent had a chance to report what has changed since.
+        """
         if not self.pushed or not known.entries:
             self._take_first(known)
             return
-        self._first = known
-        gevent.spawn_later(START_HOLD_S, self._release_first)
+        self._startup_list = known
+        gevent.spawn_later(START_HOLD_S, self._serve_startup_list)
 
-    def _release_first(self) -> None:
-        if self._first is not None:
+    def _serve_startup_list(self) -> None:
+        if self._startup_list is not None:
             self.counters.add("discovery.silent_at_start")
             error = SilentError("it may be out of date", address="{}:{}".format(*self.address))
             tell(log, error, "serving by the list of the start")
-            known, self._first = self._first, None
+            known, self._startup_list = self._startup_list, None
             self._take_first(known)
 
     def _take_first(self, known: NodeList) -> None:
         self.lists.take(ListKind.CACHED, known.version, known.entries, known.addresses)
 
     def follow(self, raw: dict[str, Any]) -> None:
-        """Another gateway hands on what discovery told it."""
-        read = self.listing.read(raw, monotonic_us(), let_others_run)
-        if self.asking.follows(read.version):
-            self._take(read)
+        """Apply a list that another gateway received from discovery and relayed."""
+        read = self.listing.read(raw, monotonic_us(), yield_to_event_loop)
+        if self.scheduler.accept_relayed(read.version):
+            self._apply(read)
 
     def refetch(self) -> None:
-        """The next call asks for the whole list."""
-        self.asking.refetch()
+        """Make the next call fetch the whole list."""
+        self.scheduler.refetch()
 
     def move(self, address: Address) -> None:
-        """Ask there from now on: what is under way is given up and the whole list fetched at once."""
+        """Use a new address: cancel all open calls and fetch the whole list at once."""
         self.address = address
-        self.asking.moved(monotonic_us())
-        self._moved.set()
-        self._events.put(_Moved())
-        self._give_up_all()
-        self._hang_up()
+        self.scheduler.address_changed(monotonic_us())
+        self._address_changed.set()
+        self._events.put(_AddressChanged())
+        self._cancel_all_calls()
+        self._close_idle_connection()
 
     def run(self) -> None:
-        """Ask on, call after call; never returns."""
+        """Make call after call; never returns."""
         while True:
-            if (due_us := self.asking.due_us) is not None and (left_us := due_us - monotonic_us()) > 0:
-                self._rest(left_us / 1e6)
+            if (due_us := self.scheduler.due_us) is not None and (left_us := due_us - monotonic_us()) > 0:
+                self._wait_until_due(left_us / 1e6)
                 continue
             fleet = self.fleet
-            if fleet is not None and self.asking.index is not None and (pause_s := fleet.wait_s()) > 0:
-                self._moved.clear()
-                self._moved.wait(pause_s)
+            if fleet is not None and self.scheduler.index is not None and (pause_s := fleet.wait_s()) > 0:
+                self._address_changed.clear()
+                self._address_changed.wait(pause_s)
                 continue
-            call = self.asking.begin(monotonic_us())
-            self._under_way[call] = gevent.spawn(self._perform, call)
-            self._await(call)
+            call = self.scheduler.begin(monotonic_us())
+            self._open_calls[call] = gevent.spawn(self._run_call, call)
+            self._wait_for_call(call)
 
-    def _rest(self, length_s: float) -> None:
-        """Until then, an answer that comes late, or a move."""
+    def _wait_until_due(self, length_s: float) -> None:
+        """Sleep for `length_s`, or until a late answer arrives or the address changes."""
         try:
             event = self._events.get(timeout=length_s)
         except Empty:
             return
-        if isinstance(event, _Ended):
-            self._ended(event)
+        if isinstance(event, _CallEnded):
+            self._call_ended(event)
 
     # --- a call
 
-    def _perform(self, call: Call) -> None:
-        """In a greenlet of its own."""
+    def _run_call(self, call: Call) -> None:
+        """Make the call and report its end; runs in a greenlet of its own."""
         try:
-            outcome = self._make(call)
-        except Exception as error:  # whatever it sends, the gateway goes on with the list it has
+            outcome = self._request(call)
+        except Exception as error:  # whatever discovery sends, the gateway keeps the list it has
             outcome = error
-        self._events.put(_Ended(call, outcome))
+        self._events.put(_CallEnded(call, outcome))
 
-    def _make(self, call: Call) -> Any:
-        """The answer's JSON."""
+    def _request(self, call: Call) -> Any:
+        """Send the call and return the answer's JSON."""
         query = "" if call.index is None else f"?index={call.index}&wait={call.wait_us // 1000}"
-        connection, self._idle = self._idle, None
-        if connection is not None and not connection.quiet():
+        connection, self._idle_connection = self._idle_connection, None
+        if connection is not None and not connection.nothing_to_read():
             connection.close()
             connection = None
         if connection is None:
@@ -216,126 +243,131 @@
         kept = False
         try:
             path = f"/v1/endpoints{query}"
-            body, kept = connection.get(path, call.late_until_us, lambda: self._events.put(_Heard(call)))
+            body, kept = connection.get(
+                path, call.late_until_us, lambda: self._events.put(_AnswerBegan(call))
+            )
         finally:
-            kept = kept and self._idle is None and connection.address == self.address
+            kept = kept and self._idle_connection is None and connection.address == self.address
             if kept:
-                self._idle = connection
+                self._idle_connection = connection
             else:
                 connection.close()
         return json.loads(body)
 
-    def _await(self, call: Call) -> None:
-        """Until the call has ended, has fallen silent or is void."""
+    def _wait_for_call(self, call: Call) -> None:
+        """Wait until the call has ended, has timed out or is void."""
         until_us = call.until_us
         while True:
             try:
-                event = self._events.get(timeout=left_s(until_us))
+                event = self._events.get(timeout=remaining_s(until_us))
             except (Empty, TimeoutError):
-                self._fell_silent(call)
+                self._call_timed_out(call)
                 return
             match event:
-                case _Heard(heard) if heard is call:
-                    until_us = self.asking.heard(call, monotonic_us())
-                case _Ended(ended):
-                    taken = self._ended(event)
+                case _AnswerBegan(begun) if begun is call:
+                    until_us = self.scheduler.answer_began(call, monotonic_us())
+                case _CallEnded(ended):
+                    taken = self._call_ended(event)
                     if ended is call:
                         return
-                    if taken:  # a late answer: this call is void
-                        self._give_up(call)
+                    if taken:  # the late answer to another call: this call is void
+                        self._cancel_call(call)
                         return
-                case _Moved() if self.asking.due_us is not None:
+                case _AddressChanged() if self.scheduler.due_us is not None:
                     return
 
-    def _fell_silent(self, call: Call) -> None:
+    def _call_timed_out(self, call: Call) -> None:
         if call.late_until_us <= monotonic_us():
-            self._give_up(call)
-        while len(self._under_way) > UNDER_WAY_MOST:
-            self._give_up(next(iter(self._under_way)))
-        if self.asking.failed(call, monotonic_us(), silent=True):
+            self._cancel_call(call)
+        while len(self._open_calls) > MAX_OPEN_CALLS:
+            self._cancel_call(next(iter(self._open_calls)))
+        if self.scheduler.failed(call, monotonic_us(), silent=True):
             self._count_failure(TimeoutError())
 
-    def _ended(self, event: _Ended) -> bool:
-        """Whether the answer counted."""
+    def _call_ended(self, event: _CallEnded) -> bool:
+        """Process the end of a call; return whether its answer was accepted."""
         call, outcome = event.call, event.outcome
-        self._under_way.pop(call, None)
+        self._open_calls.pop(call, None)
         if isinstance(outcome, Exception):
-            self._failed(call, outcome)
+            self._call_failed(call, outcome)
             return False
         came_at_us = monotonic_us()
         try:
-            read = self.listing.read(outcome, came_at_us, let_others_run)
+            read = self.listing.read(outcome, came_at_us, yield_to_event_loop)
         except Exception as error:
-            self._failed(call, error)
+            self._call_failed(call, error)
             return False
         try:
-            return self._answered(call, outcome, read)
-        except Exception:  # no fault of discovery's, and no reason to watch no more
+            return self._accept_answer(call, outcome, read)
+        except Exception:  # a defect of this program: keep watching
             self.counters.add("errors.discovery")
-            defect(log, "a list that was told")
+            defect(log, "applying a list from discovery")
             return True
 
-    def _failed(self, call: Call, error: Exception) -> None:
+    def _call_failed(self, call: Call, error: Exception) -> None:
         if isinstance(error, TurnedAwayError):
             self.counters.add("discovery.refused")
             tell(log, error, level=logging.INFO)
-            self.asking.refused(call, monotonic_us())
-        elif self.asking.failed(call, monotonic_us()):
+            self.scheduler.refused(call, monotonic_us())
+        elif self.scheduler.failed(call, monotonic_us()):
             self._count_failure(error)
 
     def _count_failure(self, error: Exception) -> None:
         self.counters.add("discovery.failed")
         self._failures += 1
-        if not self._failures & (self._failures - 1):  # 1, 2, 4, ...: an outage must not fill the log
-            tell(log, _what(error, self.address), f"discovery, {self._failures} in a row")
+        if not self._failures & (self._failures - 1):  # log 1, 2, 4, ...: an outage must not fill the log
+            tell(log, _as_discovery_error(error, self.address), f"discovery, {self._failures} in a row")
 
-    def _give_up(self, call: Call) -> None:
-        greenlet = self._under_way.pop(call, None)
+    def _cancel_call(self, call: Call) -> None:
+        greenlet = self._open_calls.pop(call, None)
         if greenlet is not None:
             greenlet.kill(block=False)
 
-    def _give_up_all(self) -> None:
-        for call in list(self._under_way):
-            self._give_up(call)
+    def _cancel_all_calls(self) -> None:
+        for call in list(self._open_calls):
+            self._cancel_call(call)
 
-    def _hang_up(self) -> None:
-        if self._idle is not None:
-            self._idle.close()
-            self._idle = None
+    def _close_idle_connection(self) -> None:
+        if self._idle_connection is not None:
+            self._idle_connection.close()
+            self._idle_connection = None
 
     # --- an answer
 
-    def _answered(self, call: Call, raw: dict[str, Any], read: NodeList) -> bool:
+    def _accept_answer(self, call: Call, raw: dict[str, Any], read: NodeList) -> bool:
         now = monotonic_us()
-        verdict = self.asking.answered(call, now, read.version, read.whole, bool(read.entries))
-        if verdict is Verdict.VOID:
-            return False  # another answer has come since, or from where discovery no longer is
+        verdict = self.scheduler.answered(call, now, read.version, read.whole, bool(read.entries))
+        if verdict is AnswerVerdict.VOID:
+            return False  # another answer came since, or discovery's address changed
         if now > call.until_us:
             self.counters.add("discovery.late")
-        if verdict is Verdict.TAKE:
-            self._take(read)
+        if verdict is AnswerVerdict.TAKE:
+            self._apply(read)
         self.counters.add("discovery.answers")
         self._failures = 0
         if self.fleet is not None:
             self.fleet.told(None if read.whole else call.index, raw)
         return True
 
-    def _take(self, read: NodeList) -> None:
-        self._doubt(read)
-        if self._first is not None:
-            known, self._first = self._first, None
-            read = read if read.whole else known.changed_by(read)
+    def _apply(self, read: NodeList) -> None:
+        self._report_anomalies(read)
+        if self._startup_list is not None:
+            known, self._startup_list = self._startup_list, None
+            read = read if read.whole else known.with_changes(read)
         if read.entries:
             stopping = [entry.node for entry in read.entries if entry.state is not NodeState.READY]
             log.info(
                 "list version %d%s: %d nodes, not ready: %s", read.version, " (whole)" if read.whole else "",
-                len(read.entries), " ".join(stopping[:NAMED_MOST]) or "none",
+                len(read.entries), " ".join(stopping[:MAX_LOGGED_NODES]) or "none",
             )  # fmt: skip
         if read.whole or read.entries:
             self.lists.take(read.kind, read.version, read.entries, read.addresses)
 
-    def _doubt(self, read: NodeList) -> None:
-        """What is odd is said, counted and believed: a node told to be gone must get nothing new."""
+    def _report_anomalies(self, read: NodeList) -> None:
+        """Log and count anomalies of a list.
+
+        The list is applied all the same: a node reported as removed must get no new work.
+        """
         nodes, version = len(read.addresses), read.version
         if nodes < len(read.entries):
             self.counters.add("discovery.named_twice")
@@ -344,14 +376,18 @@
                 NamedTwiceError(f"version {version} names nodes twice, the last entry counts"),
                 "discovery",
             )
-        if read.whole and nodes * 2 < self._size:
+        if read.whole and nodes * 2 < self._last_full_size:
             self.counters.add("discovery.shrunk")
-            tell(log, ShrunkError(f"version {version} names {nodes} nodes, {self._size} before"), "discovery")
-        self._size = nodes if read.whole else self._size
+            tell(
+                log,
+                ShrunkError(f"version {version} names {nodes} nodes, {self._last_full_size} before"),
+                "discovery",
+            )
+        self._last_full_size = nodes if read.whole else self._last_full_size
 
 
-def _what(error: Exception, address: Address) -> DiscoveryError:
-    """What went wrong with a call, in the operators' words."""
+def _as_discovery_error(error: Exception, address: Address) -> DiscoveryError:
+    """The error to log for a call that failed with `error`."""
     place = "{}:{}".format(*address)
     match error:
         case DiscoveryError():
--- a/stackrouter/net/door.py
+++ b/stackrouter/net/door.py
@@ -1,4 +1,4 @@
-"""A listening socket, or an error that says at which address none can be had."""
+"""Opens listening sockets; errors name the address."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def listen_at(address: tuple[str, int], backlog: int, inherited: int | None = None) -> socket.socket:
-    """`inherited`: the descriptor of a socket that another process holds too, used instead of binding."""
+    """Return a listening socket. ListenError: none can be opened at `address`.
+
+    `inherited`: the descriptor of a socket that another process holds too, used instead of binding.
+    """
     try:
         if inherited is not None:
             sock = socket.socket(fileno=inherited)
--- a/stackrouter/net/list_taker.py
+++ b/stackrouter/net/list_taker.py
@@ -1,4 +1,4 @@
-"""Hands node lists to the engine piece by piece, with the event loop free between two pieces."""
+"""Applies node lists to the engine in pieces and lets the event loop run between them."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
 from rackseam.interface import ListKind, NodeEntry
 from stackrouter.membership.list_changes import Address, ListChanges
 
-# Longer than 0: between greenlets that only step aside gevent looks at neither sockets nor timers.
+# Longer than 0: gevent polls neither sockets nor timers between greenlets that only yield.
 PAUSE_S: Final = 1e-6
 
-Told = Callable[[ListKind, int, Sequence[NodeEntry], dict[str, Address]], None]
+ListHandler = Callable[[ListKind, int, Sequence[NodeEntry], dict[str, Address]], None]
 
 
-def let_others_run() -> None:
-    """One round of the event loop: what is due, has come or can be written gets its turn."""
+def yield_to_event_loop() -> None:
+    """Run one iteration of the event loop, so that due timers and ready sockets are served."""
     gevent.sleep(PAUSE_S)
-    gevent.sleep(0)  # the timer may come before the sockets of its round
+    gevent.sleep(0)  # the timer may fire before the sockets of its iteration are served
 
 
 class ListTaker:
-    """The one way by which lists reach the engine, whoever they come from (discovery or the control plane).
+    """The only way by which lists reach the engine, both from discovery and from the control plane.
 
-    What is in force is known from what went through here, so everything has to.
+    The list in force is known from what has passed through here, so every list has to.
     """
 
-    def __init__(self, told: Told) -> None:
-        """`told` is given each piece (`Engine.listed`); it must not switch to another greenlet."""
-        self._told = told
+    def __init__(self, handler: ListHandler) -> None:
+        """`handler` is called with each piece (`Engine.listed`); it must not switch to another greenlet."""
+        self._handler = handler
         self._changes = ListChanges()
-        self._handing_on = False
+        self._applying = False
 
     def take(
         self, kind: ListKind, version: int, entries: Sequence[NodeEntry], addresses: Mapping[str, Address]
     ) -> None:
-        """Hand on what this list changes; `addresses` has the address of each node that `entries` names.
+        """Apply the changes of this list; `addresses` has the address of each node that `entries` names.
 
-        A list of at most `PIECE` entries is told before this returns. A longer one is told in pieces, and
-        other greenlets run meanwhile. A list that comes while pieces are under way, from whichever greenlet,
-        is merged into what is left, and then this returns at once: the first caller hands on that too.
+        A list of at most `PIECE` entries is applied before this returns. A longer one is applied in pieces,
+        between which other greenlets run. A list that arrives meanwhile, from any greenlet, is merged into
+        the remainder, and its call returns at once: the first caller applies that too.
         """
         self._changes.add(kind, version, entries, addresses)
-        if self._handing_on:
+        if self._applying:
             return
-        self._handing_on = True
+        self._applying = True
         try:
             while (piece := self._changes.next_piece()) is not None:
-                self._told(piece.kind, piece.version, piece.entries, dict(piece.addresses))
+                self._handler(piece.kind, piece.version, piece.entries, dict(piece.addresses))
                 if self._changes.pending:
-                    let_others_run()
+                    yield_to_event_loop()
         finally:
-            self._handing_on = False
+            self._applying = False
--- a/stackrouter/net/listener.py
+++ b/stackrouter/net/listener.py
@@ -1,6 +1,6 @@
-"""Client connections: a listener, and for each connection a reader, a writer and a ring for each of them.
+"""Client connections: the listener, and for each connection a reader and a writer with a ring buffer each.
 
-What the bytes mean is a front's matter: it gives each connection a session.
+The protocol is up to a front, which provides a session for each connection.
 """
 
 from __future__ import annotations
@@ -31,152 +31,157 @@
 
 BACKLOG = 1024
 INBOX = 160 * 1024  # a value of 64 KiB in a command with its other parts
-OUTBOX = 64 * 1024
-STALL_S = 10.0  # an answer nobody reads may stand still this long
-# Lingering close: once our sending has ended, what still comes is discarded, for so long and no more.
+OUTBOX_BYTES = 64 * 1024
+WRITE_STALL_S = 10.0  # how long an answer may make no progress because the client does not read
+# Lingering close: after sending has been shut down, what still arrives is discarded within these limits.
 LINGER_S = 0.5
 LINGER_BYTES = 512 * 1024
-LINGER_MOST = 8  # clients over the cap that linger at once, out of the descriptors kept back
-GONE_S = (
-    0.04  # how often a client that is not read from is looked at: 0.1 s after it left nothing begins for it
-)
-HALF_S = 0.5  # a request that has begun may be about to be whole: it is not closed for another's sake
-SWEEP_S = 0.2  # how often connections are looked over
-YOUNG_S = 0.1  # a new connection may be about to send its request: it is not closed for another's sake
-PRESSED_PART = (
-    0.45  # past this part of the cap, the inactive are closed sooner: clients hold no more of their own
-)
-REST_S = 0.02  # ... but not before this long after an answer
-ROOM_STEP_S = 0.02
-ROOM_S = 0.5  # how long a new client waits for room before it is told to come again
-EXHAUSTED_REST_S = 0.05
-STOP_TRIES = 100  # calls of accept that may fail at a stop, to let in who has connected before
+MAX_REJECTED_LINGERING = 8  # lingering clients beyond the cap; they use reserved descriptors
+# How often a paused client is checked for a hangup: 0.1 s after it left, no new work may start for it.
+HANGUP_POLL_S = 0.04
+# A partial request may be about to be completed, so its connection is not closed yet to make room.
+PARTIAL_REQUEST_GRACE_S = 0.5
+SWEEP_S = 0.2  # interval between checks of all connections
+# A new connection may be about to send its first request, so it is not closed yet to make room.
+NEW_CONNECTION_GRACE_S = 0.1
+# Above this fraction of the cap inactive connections are closed early, so clients hold no more themselves ...
+PRESSED_PART = 0.45
+MIN_INACTIVE_S = 0.02  # ... but not before this long after an answer
+ROOM_POLL_S = 0.02
+MAX_ROOM_WAIT_S = 0.5  # how long a new client waits for room before it gets the busy reply
+ACCEPT_RETRY_S = 0.05
+MAX_STOP_ACCEPT_FAILURES = 100  # failed accepts at a stop while clients in the backlog are let in
 
 
 class MalformedError(Exception):
-    """The stream cannot be followed any further: `farewell` is sent and the connection closed."""
+    """The stream cannot be parsed any further: `final_reply` is sent and the connection closed."""
 
-    def __init__(self, farewell: bytes = b"") -> None:
-        super().__init__(farewell)
-        self.farewell = farewell
+    def __init__(self, final_reply: bytes = b"") -> None:
+        super().__init__(final_reply)
+        self.final_reply = final_reply
 
 
 @dataclass(frozen=True, slots=True)
 class Patience:
-    """How long a client may take; past it the connection is closed."""
+    """Time limits for a client; its connection is closed when one is exceeded.
 
-    request_s: (
-        float  # from connecting to its first whole request, and from a later one's first byte to its last
-    )
-    idle_s: float  # between requests
+    `request_s`: from connecting to the first complete request, and from the first byte of a later request to
+    its last; `idle_s`: between requests.
+    """
+
+    request_s: float
+    idle_s: float
 
 
 class Session(Protocol):
     """A front's side of one client connection."""
 
-    client_left: Callable[[], bool]  # set by the connection: the client has closed, noticed or not
+    client_left: Callable[
+        [], bool
+    ]  # set by the connection: whether the client has closed, even if not yet read
 
     def received(self, inbox: Inbox) -> None:
-        """Take whole requests out of the inbox; raises MalformedError."""
+        """Take complete requests out of the inbox. MalformedError: the stream cannot be parsed."""
 
     def output(self) -> bytes:
-        """The next bytes for the client; empty when there are none now."""
+        """The next bytes for the client; empty if there are none now."""
 
     def pending(self) -> int:
-        """Requests taken whose answers have not been handed to `output`."""
+        """The number of requests taken whose answers `output` has not returned yet."""
 
     def full(self) -> bool:
-        """No more is read until answers have left."""
+        """Whether reading has to pause until answers have been sent."""
 
     def gone(self) -> None:
-        """The client went away."""
+        """The client has disconnected."""
 
 
 class Connection:
+    """One client connection: its socket, ring buffers, session, and reader and writer greenlets."""
+
     def __init__(self, sock: ClientSocket, listener: Listener) -> None:
         self._sock, self.listener = sock, listener
-        self.inbox, self.outbox = Ring(INBOX), Ring(OUTBOX)
-        self.active_at = self.half_since = time.monotonic()
-        self.ending = self.closed = self._half = self._asked = self._blocked = False
-        self.lingering_since: float | None = (
-            None  # since when our sending has ended: nothing is taken any more
-        )
+        self.inbox, self.outbox = Ring(INBOX), Ring(OUTBOX_BYTES)
+        self.active_at = self.request_since = time.monotonic()
+        self.ending = self.closed = self._partial = self._requested = self._input_paused = False
+        self.lingering_since: float | None = None  # when sending was shut down; no requests are taken after
         self._discarded = 0
-        self._wake, self._room = Event(), Event()
-        # Weak: what is closed is freed at once, and not only when the garbage is looked through.
-        this = weakref.ref(self)
+        self._wake, self._output_progress = Event(), Event()
+        # Weak, so that a closed connection is freed at once and not only by the cyclic garbage collector.
+        self_ref = weakref.ref(self)
 
         def wake() -> None:
-            if (connection := this()) is not None:
+            if (connection := self_ref()) is not None:
                 connection.wake()
 
         self.session = listener.session(wake)
         self.session.client_left = sock.hung_up
-        # The writer comes with the first answer: many connections never ask anything.
+        # The writer is started with the first answer: many connections never send a request.
         self._greenlets = [gevent.spawn(self._guard, self._read)]
 
     def answered(self) -> bool:
         return not self.session.pending() and not len(self.outbox)
 
     def settled(self) -> bool:
-        """Nothing taken waits for its answer, and no whole request waits behind those that did."""
-        return self.answered() and not self._blocked
+        """Every request taken has its answer, and no complete request is queued behind paused reading."""
+        return self.answered() and not self._input_paused
 
     def idle(self) -> bool:
         return self.settled() and not len(self.inbox)
 
-    def at_rest(self) -> bool:
-        """Nothing is owed, and nothing that may be a request waits in the socket."""
+    def quiescent(self) -> bool:
+        """No answer is owed, and the socket holds nothing that may be a request."""
         return self.settled() and not self._sock.readable()
 
     def stalled(self, now: float) -> bool:
-        """Guards against clients that never send or finish a request, or never read an answer."""
+        """Whether a limit is exceeded: for clients that never send or finish a request or read an answer."""
         patience = self.listener.patience
         if len(self.outbox):
-            return now - self.active_at > STALL_S
+            return now - self.active_at > WRITE_STALL_S
         if not self.settled():
-            return False  # what was taken is answered first, whatever stands half behind it
-        if not self._asked or len(self.inbox):
-            return not self.ending and now - self.half_since > patience.request_s
+            return False  # requests taken are answered first, whatever partial one follows
+        if not self._requested or len(self.inbox):
+            return not self.ending and now - self.request_since > patience.request_s
         return self.idle() and now - self.active_at > patience.idle_s and not self._sock.readable()
 
-    def spare(self, now: float) -> bool:
-        """May be closed to make room: nothing is owed on it, and nothing is about to be asked."""
-        half_may_wait = now - self.active_at <= HALF_S
-        return not self.ending and self.listener.gate.may_close(self._state(now, half_may_wait)) is None
+    def closable_for_room(self, now: float) -> bool:
+        """Whether it may be closed to make room: no answer is owed and no request is about to arrive."""
+        partial_counts = now - self.active_at <= PARTIAL_REQUEST_GRACE_S
+        return not self.ending and self.listener.gate.may_close(self._state(now, partial_counts)) is None
 
     def drained(self, now: float) -> bool:
-        """Closed now for a drain: nothing is owed on it and nothing is on its way (see ops.drain)."""
+        """Whether a drain closes it now: no answer is owed and nothing is on its way (see ops.drain)."""
         drain = self.listener.drain
         if drain.since is None or self.ending:
             return False
         owed = not self.settled()
         readable = not owed and (len(self.inbox) > 0 or self._sock.readable())
         return drain.closes(now, owed=owed, readable=readable,
-                            asked=self._asked, active_at=self.active_at)  # fmt: skip
+                            asked=self._requested, active_at=self.active_at)  # fmt: skip
 
-    def _young(self, now: float) -> bool:
-        return not self._asked and now - self.active_at <= YOUNG_S
+    def _is_new(self, now: float) -> bool:
+        return not self._requested and now - self.active_at <= NEW_CONNECTION_GRACE_S
 
-    def _state(self, now: float, half_counts: bool = True) -> ClientState:
-        """For the gate. `half_counts`: part of a request is as good as a whole one."""
+    def _state(self, now: float, partial_counts: bool = True) -> ClientState:
+        """The state that the gate decides by. `partial_counts`: count a partial request as unread bytes."""
         owed = not self.settled()
-        unread = not owed and ((half_counts and len(self.inbox) > 0) or self._sock.readable())
-        return ClientState(owed, unread, self._young(now))
+        unread = not owed and ((partial_counts and len(self.inbox) > 0) or self._sock.readable())
+        return ClientState(owed, unread, self._is_new(now))
 
     def finish(self) -> None:
-        """At a stop: end once nothing is owed and nothing is on its way."""
+        """At a stop: end the connection once no answer is owed and nothing is on its way."""
         if not self.ending:
             self.end()
 
     def end(self, planned: bool = True) -> None:
-        """End it, if the gate lets it. `planned`: not over what has come and is not read; else it cannot be
-        followed, or never asks anything whole.
+        """End the connection with a lingering close, if the gate allows it.
 
-        Lingering close: our sending ends, what still comes is discarded until the client ends too.
+        `planned`: not while received bytes are unread; else the stream cannot be parsed, or the client never
+        completes a request.
 
-        Closing over unread bytes would reset the connection, and the last answer could be lost with it. A
-        request that crosses this is never taken: its client sees the end without an answer and sends it anew.
+        Sending is shut down, and what still arrives is discarded until the client closes too. Closing with
+        unread bytes would reset the connection, and the last answer could be lost with it. A request that
+        crosses the close is never taken: its client sees the end without an answer and sends it again.
         """
         if self.closed or self.lingering_since is not None:
             return
@@ -194,10 +199,10 @@
             self.close()
             return
         self.listener.linger(self)
-        self._room.set()
+        self._output_progress.set()
 
     def close(self) -> None:
-        """At once, both ways."""
+        """Close both directions at once."""
         if self.closed:
             return
         self.closed = True
@@ -209,7 +214,7 @@
                 greenlet.kill(block=False)
 
     def _guard(self, work: Callable[[], None]) -> None:
-        """One bad connection never ends the program."""
+        """Run a greenlet's work; a defect in one connection never ends the program."""
         try:
             work()
         except (OSError, GreenletExit):
@@ -224,14 +229,14 @@
 
     def _read(self) -> None:
         while not self.closed:
-            self._blocked = self.session.full()
-            if self._blocked:
-                # Backpressure: what the client sends meanwhile stays in its socket.
-                if not self._wait_answered(lambda: not self.session.full()):
+            self._input_paused = self.session.full()
+            if self._input_paused:
+                # Backpressure: what the client sends meanwhile stays in the socket.
+                if not self._wait_for_output(lambda: not self.session.full()):
                     return
-                self._wake.set()  # the writer may have found all answered while this still held it back
+                self._wake.set()  # the writer may have seen all answered while reading was still paused
             elif not self.inbox.room:
-                return self._farewell(b"")  # no request is this large
+                return self._end_with_reply(b"")  # larger than any valid request
             elif not self._sock.read(self.inbox):
                 return
             if self.lingering_since is not None:
@@ -241,37 +246,37 @@
                 self.session.received(self.inbox)
             except MalformedError as error:
                 self.listener.counters.add("clients.malformed")
-                return self._farewell(error.farewell)
-            self._active()
+                return self._end_with_reply(error.final_reply)
+            self._touch()
             taken = len(self.inbox) < held
-            if taken or (self._asked and not self._half):  # a request was taken, or a later one has begun
-                self.half_since = self.active_at
-            self._asked = self._asked or taken
-            self._half = len(self.inbox) > 0
+            if taken or (self._requested and not self._partial):  # a request was taken, or a later one began
+                self.request_since = self.active_at
+            self._requested = self._requested or taken
+            self._partial = len(self.inbox) > 0
 
-    def _wait_answered(self, enough: Callable[[], bool]) -> bool:
-        """Wait, without reading, until answers have left; False: the client has gone meanwhile."""
+    def _wait_for_output(self, enough: Callable[[], bool]) -> bool:
+        """Wait without reading until enough answers have been sent; False: the client has disconnected."""
         while not enough() and self.lingering_since is None:
-            self._room.clear()
-            self._room.wait(GONE_S)
+            self._output_progress.clear()
+            self._output_progress.wait(HANGUP_POLL_S)
             if self._sock.hung_up():
                 self.listener.counters.add("clients.gone_unread")
                 return False
         return True
 
-    def _farewell(self, data: bytes) -> None:
-        """What was taken before is answered first; then the reason, then the end."""
+    def _end_with_reply(self, data: bytes) -> None:
+        """Answer the requests taken before, send `data`, then end the connection."""
         self.ending = True
-        if not self._wait_answered(self.answered):
+        if not self._wait_for_output(self.answered):
             return
         if self.lingering_since is None:
-            with gevent.Timeout(STALL_S, TimeoutError()):
+            with gevent.Timeout(WRITE_STALL_S, TimeoutError()):
                 self._sock.write_all(data)
             self.end(planned=False)
         self._discard()
 
     def _discard(self) -> None:
-        """What comes after our end is not taken: it goes no further."""
+        """Read and drop what arrives after sending has been shut down."""
         while not self.closed and self._discarded <= LINGER_BYTES:
             self._discarded += len(self.inbox)
             self.inbox.skip(len(self.inbox))
@@ -286,14 +291,14 @@
                 rest = rest[self.outbox.put(rest) :]
                 if not self.outbox.room:
                     break
-            self._room.set()
+            self._output_progress.set()
             if len(self.outbox):
                 self._sock.write(self.outbox)
-                self._active()
+                self._touch()
                 continue
             if self.listener.stopping:
                 self.finish()
-            if self.drained(time.monotonic()):  # the end follows the last answer at once
+            if self.drained(time.monotonic()):  # end right after the last answer
                 self.listener.counters.add("clients.drained")
                 self.end()
             if self.lingering_since is not None:
@@ -305,26 +310,30 @@
         if len(self._greenlets) == 1 and not self.closed and self.lingering_since is None:
             self._greenlets.append(gevent.spawn(self._guard, self._write))
 
-    def _active(self) -> None:
+    def _touch(self) -> None:
         self.active_at = time.monotonic()
         self.listener.active(self)
 
 
 class Listener:
+    """Accepts client connections up to a cap, keeps them within their limits and ends them at a stop."""
+
     def __init__(self, address: tuple[str, int], most: int, counters: Counters,
                  session: Callable[[Callable[[], None]], Session], patience: Patience,
                  busy: bytes, inherited: int | None = None, drain: Drain | None = None,
                  gate: Gate | None = None) -> None:  # fmt: skip
-        """`inherited`: a listening socket's descriptor, used instead of binding `address`; else ListenError.
+        """`most`: cap on client sockets. `session`: makes a session, given a function that wakes the writer.
+        `busy`: reply to clients over the cap. `inherited`: descriptor of a listening socket, used instead of
+        binding `address`. ListenError: the address cannot be bound.
 
-        At an upgrade the platform holds the clients' socket and both processes share it: binding the address
-        again would fail, and a socket of our own would shut the old process's door.
+        At an upgrade the platform holds the listening socket and both processes share it: binding the address
+        again would fail, and a new socket would stop the old process from accepting clients.
         """
         self.most, self.counters, self.session = most, counters, session
         self.patience, self.busy = patience, busy
-        self.connections: dict[Connection, None] = {}  # the longest inactive first
-        self.lingering: dict[Connection, None] = {}  # ended by us, not yet by their clients; the oldest first
-        self._full_at = 0.0  # since when no client could be let in
+        self.connections: dict[Connection, None] = {}  # longest inactive first
+        self.lingering: dict[Connection, None] = {}  # ended here but not yet by the client; oldest first
+        self._full_since = 0.0  # since when no client could be accepted; 0: not full
         self.stopping = False
         self.drain, self.gate = drain or Drain(), gate or Gate()
         self._inherited = inherited is not None
@@ -333,51 +342,54 @@
         self._greenlets = [gevent.spawn(self._accept), gevent.spawn(self._sweep)]
 
     def stop(self) -> None:
-        """Take no new connection, end those between requests; the others end with their last answer."""
+        """Accept no more connections and end idle ones; the others end with their last answer."""
         self.stopping = True
         self._greenlets[0].kill()
         self._sock.setblocking(False)
-        tries = STOP_TRIES
-        while tries:  # whoever the system has let in already may have sent a request
+        tries = MAX_STOP_ACCEPT_FAILURES
+        while tries:  # clients in the backlog may have sent a request already
             try:
                 self._admit(self._sock.accept()[0])
             except OSError as error:
                 kind = accept_error(error)
                 if kind in (AcceptError.EMPTY, AcceptError.BROKEN):
-                    break  # nothing runs between the look that found nobody and the close
+                    break  # no greenlet runs between this empty accept and the close
                 tries -= 1
                 if kind is AcceptError.EXHAUSTED:
                     self._make_room(at_once=True)
-            gevent.sleep(0)  # sockets that were closed are given back in the event loop's turn
+            gevent.sleep(0)  # closed sockets are released by the event loop
         if self._inherited:
-            # Closed, it would take this process's locks on it along, by which the others see that it still
-            # serves (sharing.presence): it ends with the process.
+            # Closing it would drop this process's locks on it, by which the other processes see that this one
+            # still serves (sharing.presence): leave it open until the process ends.
             self._sock.detach()
         else:
             self._sock.close()
         self._finish()
-        gevent.spawn_later(YOUNG_S, self._finish)  # who has just come may be about to ask
+        gevent.spawn_later(NEW_CONNECTION_GRACE_S, self._finish)  # new clients may be about to send
 
     def _finish(self) -> None:
         for connection in list(self.connections):
             connection.finish()
 
     def close_drained(self) -> None:
-        """Close what a drain lets go now: at standby, and on each sweep while it lasts."""
+        """Close the connections that the drain allows now: at standby, and on each sweep during the drain."""
         now = time.monotonic()
         for connection in [c for c in self.connections if c.drained(now)]:
             self.counters.add("clients.drained")
             connection.end()
 
     def leave(self) -> bool:
-        """At the exit: end what is at rest or has half a request. Whether a client has yet to see it."""
-        for connection in [c for c in self.connections if c.at_rest()]:
+        """At the exit: end connections with no answer owed and nothing to read, or a partial request.
+
+        Returns whether any connection is still open.
+        """
+        for connection in [c for c in self.connections if c.quiescent()]:
             connection.end(planned=False)
         return bool(self.lingering or self.connections)
 
     def idle(self) -> bool:
-        """All that was taken is answered and nothing waits to be read; half a request does not count."""
-        return all(connection.at_rest() for connection in self.connections)
+        """Whether all requests taken are answered and nothing is unread; partial requests do not count."""
+        return all(connection.quiescent() for connection in self.connections)
 
     def linger(self, connection: Connection) -> None:
         self.connections.pop(connection, None)
@@ -401,30 +413,30 @@
                 kind = accept_error(error)
                 if kind is AcceptError.EXHAUSTED:
                     self._make_room(at_once=True)
-                # Whatever is wrong with the listening socket, those inside are served.
-                gevent.sleep(0 if kind is AcceptError.PASSING else EXHAUSTED_REST_S)
+                # Whatever is wrong with the listening socket, accepted clients are served.
+                gevent.sleep(0 if kind is AcceptError.TRANSIENT else ACCEPT_RETRY_S)
                 continue
             self._admit(sock)
-            self._relieve()
-            gevent.sleep(0)  # a burst of clients must not keep those before them from being read
+            self._relieve_pressure()
+            gevent.sleep(0)  # a burst of clients must not delay reading from earlier ones
 
     def _wait_for_room(self) -> None:
-        """At the cap the next client waits to be let in until one can be closed that nothing is owed to.
+        """At the cap, wait until a connection to which no answer is owed can be closed.
 
-        Once that has lasted, those who wait are let in to be told to come again.
+        After `MAX_ROOM_WAIT_S` waiting clients are accepted nevertheless, to get the busy reply.
         """
         while self._full() and not self._make_room(at_once=True):
-            self._full_at = self._full_at or time.monotonic()
-            if time.monotonic() - self._full_at > ROOM_S:
+            self._full_since = self._full_since or time.monotonic()
+            if time.monotonic() - self._full_since > MAX_ROOM_WAIT_S:
                 return
-            gevent.sleep(ROOM_STEP_S)
-        self._full_at = 0.0
+            gevent.sleep(ROOM_POLL_S)
+        self._full_since = 0.0
 
     def _full(self) -> bool:
         return self.held() >= self.most
 
     def held(self) -> int:
-        """Sockets of clients."""
+        """The number of client sockets in use."""
         return len(self.connections) + len(self.lingering)
 
     def _admit(self, sock: socket.socket) -> None:
@@ -440,31 +452,37 @@
         if not over:
             self.counters.add("clients.connected")
             return
-        # The system has let the client in, so its request counts as taken: it is told. The request itself may
-        # still be on its way; a close over it would reset the connection, and the word would be lost.
+        # The system has accepted the client, so its request counts as taken: reply. The request may
+        # still be on its way; closing before it arrives would reset the connection and lose the reply.
         self.counters.add("clients.over_sockets")
         with contextlib.suppress(OSError):
             client.write_all(self.busy)
         connection.end(planned=False)
-        while len(self.connections) + len(self.lingering) > self.most + LINGER_MOST and self.lingering:
+        while (
+            len(self.connections) + len(self.lingering) > self.most + MAX_REJECTED_LINGERING
+            and self.lingering
+        ):
             next(iter(self.lingering)).close()
 
-    def _relieve(self) -> None:
-        """Guards the clients' own bound: who asks and keeps its connection leaves others none."""
+    def _relieve_pressure(self) -> None:
+        """Stay below the cap: clients that keep connections after a request would leave none to others."""
         while len(self.connections) > self.most * PRESSED_PART and self._make_room():
             pass
 
     def _make_room(self, at_once: bool = False) -> bool:
-        """End the longest inactive that may be. `at_once`: a descriptor is needed now, so one that lingers is
-        closed, which has heard of its end; else the inactive one itself, whose last answer left long ago."""
+        """End the longest inactive connection that may be ended; return whether there was one.
+
+        `at_once`: a descriptor is needed now, so a lingering connection, whose client has seen its end, is
+        closed; else the inactive connection itself is closed at once: its last answer was sent long ago.
+        """
         if at_once and self.lingering:
             next(iter(self.lingering)).close()
             return True
         at = time.monotonic()
         for connection in self.connections:
-            if at - connection.active_at <= REST_S:
+            if at - connection.active_at <= MIN_INACTIVE_S:
                 break
-            if connection.spare(at):
+            if connection.closable_for_room(at):
                 self.counters.add("clients.closed_for_room")
                 if at_once:
                     connection.close()
@@ -476,14 +494,14 @@
     def _sweep(self) -> None:
         while True:
             gevent.sleep(SWEEP_S)
-            self._relieve()
+            self._relieve_pressure()
             now = time.monotonic()
             for connection in [c for c in self.connections if c.stalled(now)]:
                 self.counters.add("clients.stalled")
                 if connection.answered():
                     connection.end(planned=False)
                 else:
-                    connection.close()  # it never reads its answer
+                    connection.close()  # the client never reads its answer
             for connection in list(self.lingering):
                 if now - (connection.lingering_since or now) > LINGER_S:
                     connection.close()
--- a/stackrouter/net/node_socket.py
+++ b/stackrouter/net/node_socket.py
@@ -1,4 +1,4 @@
-"""A connection to a storage node. Its socket is private: bytes of attempts leave by the gate's word."""
+"""A connection to a storage node; its socket is private, and the gate is asked before each write."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from stackrouter.core.gate import Denial, Gate
 from stackrouter.core.model import Attempt
 from stackrouter.net.ring import Ring
-from stackrouter.net.socket_errors import repeat_passing
+from stackrouter.net.socket_errors import retry_transient
 
 
 class DeniedError(Exception):
-    """The gate does not let the attempt's next byte out; `begun`: others of it have left."""
+    """The gate denied writing the attempt's next byte; `begun`: earlier bytes have been sent."""
 
     def __init__(self, denial: Denial, begun: bool) -> None:
         super().__init__(denial.value)
@@ -24,16 +24,16 @@
 
 
 class NodeSocket:
-    """One TCP connection. OSError: it is broken."""
+    """One TCP connection. OSError from any method: the connection is broken."""
 
     def __init__(self, gate: Gate, clock: Callable[[], int]) -> None:
-        """OSError: the system gives no socket. `clock`: monotonic microseconds."""
+        """`clock`: monotonic microseconds. OSError: no socket can be created."""
         self._gate, self._clock = gate, clock
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.address: tuple[str, int] = ("", 0)
 
     def connect(self, address: tuple[str, int], timeout_s: float) -> None:
-        """OSError, with `TimeoutError` for a connection that does not come up in time."""
+        """OSError: the connect failed; `TimeoutError`: it was not established in time."""
         self.address = address
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._sock.settimeout(timeout_s)
@@ -41,8 +41,11 @@
         self._sock.settimeout(None)
 
     def write(self, attempt: Attempt, data: bytes, began: Callable[[int], None] | None = None) -> None:
-        """All of it. The gate is asked before each system call. `began` is told the time at which the first
-        byte had left. DeniedError: the gate said no."""
+        """Write all of `data`, asking the gate before each system call.
+
+        `began` is called with the time at which the first byte had been sent. DeniedError: the gate
+        denied the write.
+        """
         view = memoryview(data)
         begun = attempt.may_have_run  # a later step of an exchange
         while view:
@@ -58,10 +61,10 @@
             view = view[count:]
 
     def _send_some(self, view: memoryview) -> int:
-        """One write; 0 after a wait for a full send buffer."""
+        """Write once and return the byte count; 0 after waiting for a full send buffer."""
         self._sock.settimeout(0.0)
         try:
-            return int(repeat_passing(lambda: self._sock.send(view)))
+            return int(retry_transient(lambda: self._sock.send(view)))
         except BlockingIOError:
             wait_write(self._sock.fileno())
             return 0
@@ -69,17 +72,17 @@
             self._sock.settimeout(None)
 
     def read(self, inbox: Ring) -> int:
-        """What has come; 0: the node has ended the connection."""
-        return repeat_passing(lambda: inbox.receive(self._sock))
+        """Receive once into the ring and return the byte count; 0: the node has closed the connection."""
+        return retry_transient(lambda: inbox.receive(self._sock))
 
-    def quiet(self) -> bool:
-        """Nothing waits to be read: no bytes, no end, no error."""
+    def nothing_to_read(self) -> bool:
+        """Whether nothing is there to be read: no bytes, no end of the stream, no error."""
         poll = select.poll()
         poll.register(self._sock.fileno(), select.POLLIN)
         return not poll.poll(0)
 
     def end(self) -> None:
-        """Shut down at once: closing alone waits for a turn of the event loop."""
+        """Shut down at once: closing alone takes effect only in a later iteration of the event loop."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         self._sock.close()
--- a/stackrouter/net/ring.py
+++ b/stackrouter/net/ring.py
@@ -1,16 +1,18 @@
-"""A bounded ring buffer: one for each direction of a connection."""
+"""A bounded ring buffer, used for each direction of a connection."""
 
 from __future__ import annotations
 
 from gevent.socket import socket
 
-FIRST = 4096  # most connections never hold more; a ring grows by doubling, up to its bound
+INITIAL_BYTES = 4096  # most connections never hold more; a ring grows by doubling, up to its bound
 
 
 class Ring:
+    """A byte queue of at most `bound` bytes."""
+
     def __init__(self, bound: int) -> None:
         self.bound = bound
-        self._buffer = bytearray()  # many connections never say anything
+        self._buffer = bytearray()  # allocated on first use: many connections never send anything
         self._head = self._size = 0
 
     def __len__(self) -> int:
@@ -21,7 +23,7 @@
         return self.bound - self._size
 
     def put(self, data: bytes | memoryview) -> int:
-        """Take in as much as the bound allows; returns how much that was."""
+        """Append as much of `data` as the bound allows; return the byte count."""
         count = min(len(data), self.room)
         if not count:
             return 0
@@ -35,7 +37,7 @@
         return count
 
     def peek(self, start: int, length: int) -> bytes:
-        """Up to `length` bytes from `start` on; they stay in the ring."""
+        """Up to `length` bytes from offset `start`; they stay in the ring."""
         length = max(0, min(length, self._size - start))
         if not length:
             return b""
@@ -52,17 +54,20 @@
             self._head -= len(self._buffer)
         if not self._size:
             self._head = 0
-            if len(self._buffer) > FIRST:
-                self._buffer = bytearray(FIRST)  # a large value must not keep its memory
+            if len(self._buffer) > INITIAL_BYTES:
+                self._buffer = bytearray(INITIAL_BYTES)  # release the memory of a large value
 
     def reserve(self, bound: int) -> None:
-        """Hold up to `bound` bytes, with room for them at once."""
+        """Set the bound and allocate memory for that many bytes at once."""
         self.bound = bound
         if len(self._buffer) < bound:
             self._resize(bound)
 
     def receive(self, sock: socket) -> int:
-        """One read into the free space; 0 at the end of the stream. The ring must not be full."""
+        """Read once into the free space; return the byte count, 0 at the end of the stream.
+
+        The ring must not be full.
+        """
         if self._size == len(self._buffer):
             self._grow()
         at = (self._head + self._size) % len(self._buffer)
@@ -74,7 +79,7 @@
         return count
 
     def send(self, sock: socket) -> int:
-        """One write of what is held; returns how much the socket took."""
+        """Write once from the ring; return the byte count that the socket took."""
         with memoryview(self._buffer)[self._head : min(self._head + self._size, len(self._buffer))] as held:
             count = int(sock.send(held))
         self.skip(count)
@@ -82,8 +87,8 @@
 
     def _grow(self) -> None:
         if len(self._buffer) >= self.bound:
-            raise BufferError("the ring is full")
-        self._resize(min(self.bound, max(FIRST, 2 * len(self._buffer))))
+            raise BufferError("ring buffer is full")
+        self._resize(min(self.bound, max(INITIAL_BYTES, 2 * len(self._buffer))))
 
     def _resize(self, size: int) -> None:
         held = self.peek(0, self._size)
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -188,7 +188,7 @@
                 self.drain.active()
             sock, connection = self.asked(door)
             with self.subTest("room", i=i):
-                gevent.sleep(listening.REST_S + 0.002)
+                gevent.sleep(listening.MIN_INACTIVE_S + 0.002)
                 self.crossed(connection, sock, door._make_room)
             sock, connection = self.asked(door)
             with self.subTest("stop", i=i):
@@ -216,7 +216,7 @@
 
     def test_a_client_over_the_cap_reads_its_busy_though_its_request_is_unread(self) -> None:
         for i in range(TIMES):
-            with self.subTest(i), mock.patch.object(listening, "ROOM_S", 0.0):
+            with self.subTest(i), mock.patch.object(listening, "MAX_ROOM_WAIT_S", 0.0):
                 door = self.door(most=1)
                 first = self.client(door, b"x\n")
                 wait_until(lambda d=door: len(d.connections) == 1, "the first is in")  # type: ignore[misc]
@@ -228,14 +228,14 @@
                 first.close()
 
     def test_clients_over_the_cap_linger_within_a_bound(self) -> None:
-        with mock.patch.object(listening, "ROOM_S", 0.0):
+        with mock.patch.object(listening, "MAX_ROOM_WAIT_S", 0.0):
             door = self.door(most=1)
             self.client(door, b"x\n")
             wait_until(lambda: len(door.connections) == 1, "the first is in")
             for i in range(40):
                 self.client(door)  # never reads, never ends
                 wait_until(lambda i=i: self.counters["clients.over_sockets"] == i + 1, "told")  # type: ignore[misc]
-                self.assertLessEqual(len(door.lingering), 1 + listening.LINGER_MOST)
+                self.assertLessEqual(len(door.lingering), 1 + listening.MAX_REJECTED_LINGERING)
             wait_until(lambda: not door.lingering, "and for a bounded time")
 
     def test_half_a_request_behind_an_owed_one_does_not_cost_the_owed_answer(self) -> None:
@@ -255,7 +255,7 @@
         sock, connection = self.asked(door)
         sock.sendall(b"half")
         wait_until(lambda: len(connection.inbox) == 4, "half of it")
-        gevent.sleep(listening.REST_S + 0.002)
+        gevent.sleep(listening.MIN_INACTIVE_S + 0.002)
         self.assertFalse(door._make_room())
         sock.sendall(b"\n")
         self.assertEqual(sock.recv(100), b"half\n")
@@ -287,8 +287,8 @@
                     seen: list[bool] = []
                     with mock.patch.object(
                         connection,
-                        "_room",
-                        Gate(connection._room, lambda s=seen, d=door: s.append(d.idle())),  # type: ignore[misc]
+                        "_output_progress",
+                        Gate(connection._output_progress, lambda s=seen, d=door: s.append(d.idle())),  # type: ignore[misc]
                     ):
                         session.answer()
                         self.assertEqual(sock.recv(100), b"x\n")
@@ -359,12 +359,14 @@
         door = self.door(most=20)
         for _ in range(60):
             self.client(door)
-        gevent.sleep(listening.YOUNG_S)
+        gevent.sleep(listening.NEW_CONNECTION_GRACE_S)
         began = time.monotonic()
         sock = self.client(door, b"a\n")
         self.assertEqual(sock.recv(100), b"a\n")
         self.assertLess(time.monotonic() - began, 1.0)
-        self.assertLessEqual(len(door.connections) + len(door.lingering), 20 + listening.LINGER_MOST)
+        self.assertLessEqual(
+            len(door.connections) + len(door.lingering), 20 + listening.MAX_REJECTED_LINGERING
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -21,9 +21,9 @@
 
 from rackseam.interface import NodeEntry, NodeState, Outcome, Send
 from stackrouter.core.counters import Counters
-from stackrouter.membership.asking import Asking
+from stackrouter.membership.asking import CallScheduler
 from stackrouter.membership.listing import Listing
-from stackrouter.net.discovery import Discovery, pace
+from stackrouter.net.discovery import Discovery, call_timing
 from tests.gateway import MS, SETTINGS, Gateway, S
 
 Call = tuple[float, str | None]  # when, and the version that was asked for
@@ -221,7 +221,7 @@
         discovery = Discovery(("127.0.0.1", int(server.server_port or 0)), Listing([], [], 0), counters,
                               lambda kind, version, entries, addresses: told.append(
                                   (version, counters["discovery.answers"])))  # fmt: skip
-        make = discovery._make
+        make = discovery._request
 
         def gated(call: Any) -> Any:
             if told:
@@ -229,7 +229,7 @@
                 go_on.wait()
             return make(call)
 
-        with mock.patch.object(discovery, "_make", gated):
+        with mock.patch.object(discovery, "_request", gated):
             greenlet = gevent.spawn(discovery.run)
             self.addCleanup(greenlet.kill)
             self.assertTrue(done.wait(10))
@@ -256,9 +256,9 @@
         """What discovery has counts as told 6 s later, also to one that it turned away: waits of up to 5.2 s,
         one behind the other, passed that. Within it they come apart, each several times."""
         gateways, took_s = 40, 0.13  # a call's turn at discovery
-        asking = [Asking(pace(gateways), random.Random(seed), 5) for seed in range(gateways)]
+        asking = [CallScheduler(call_timing(gateways), random.Random(seed), 5) for seed in range(gateways)]
 
-        def refused(one: Asking, now: int) -> float:
+        def refused(one: CallScheduler, now: int) -> float:
             one.refused(one.begin(now), now)
             assert one.due_us is not None
             return (one.due_us - now) / 1e6
--- a/tests/test_list_pieces.py
+++ b/tests/test_list_pieces.py
@@ -93,7 +93,7 @@
     ) -> None:
         at_once, in_pieces, changes = new_engine(), new_engine(), ListChanges()
         with mock.patch.object(list_changes, "PIECE", piece), mock.patch.object(
-            list_changes, "COMPARED", compared
+            list_changes, "MAX_COMPARED_PER_PIECE", compared
         ):  # fmt: skip
             for version, one in enumerate(lists, 1):
                 addresses = addresses_of(one.entries)
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -33,7 +33,7 @@
 )
 SAFE, KEYED, UNSAFE = range(3)
 
-LONG_SETTLE_S = 0.1
+LONG_STRAY_BYTES_WAIT_S = 0.1
 
 
 class Nodes(unittest.TestCase):
@@ -252,11 +252,11 @@
                 sent = len(self.commands)
                 # At once behind the answer: the kept connection is waited on, and given up in that wait.
                 # The wait is long enough that a busy machine withdraws within it, too.
-                with mock.patch("stackrouter.net.pool.SETTLE_S", LONG_SETTLE_S):
+                with mock.patch("stackrouter.net.pool.STRAY_BYTES_WAIT_S", LONG_STRAY_BYTES_WAIT_S):
                     request, _ = self.ask(engine)
                     wait_until(lambda: bool(self.pool._busy), "taken up")
                     engine.withdraw(request)
-                    gevent.sleep(LONG_SETTLE_S + 0.002)
+                    gevent.sleep(LONG_STRAY_BYTES_WAIT_S + 0.002)
                 self.assertEqual(len(self.commands), sent)
                 self.assertEqual(engine.counters["errors.attempt"], 0)
 
