--- a/stackrouter/membership/asking.py
+++ b/stackrouter/membership/asking.py
@@ -107,7 +107,7 @@
 
 
 class AnswerVerdict(enum.Enum):
-    TAKE = "take"
+    ACCEPT = "take"
     OLDER = "older"  # another gateway relayed a newer list during the call
     VOID = "void"  # another answer was accepted, or discovery's address changed, since the call began
 
@@ -166,7 +166,7 @@
             return AnswerVerdict.OLDER
         no_change = call.index is not None and (version < call.index or (version == call.index and news))
         self.index = None if no_change and not whole else version
-        return AnswerVerdict.TAKE
+        return AnswerVerdict.ACCEPT
 
     def _pause_us(self, call: Call, now: int) -> int:
         self._immediate_answers = (
--- a/stackrouter/membership/list_changes.py
+++ b/stackrouter/membership/list_changes.py
@@ -149,19 +149,19 @@
             self._full_list = None
         return known
 
-    def _next_ready(self, whole: _FullList) -> _NodeRecord | None:
-        while whole.compared < len(whole.entries):
-            entry = whole.entries[whole.compared]
-            whole.compared += 1
-            if entry.state is NodeState.READY and entry.node not in whole.superseded:
-                return _NodeRecord(entry, whole.addresses[entry.node])
+    def _next_ready(self, full_list: _FullList) -> _NodeRecord | None:
+        while full_list.compared < len(full_list.entries):
+            entry = full_list.entries[full_list.compared]
+            full_list.compared += 1
+            if entry.state is NodeState.READY and entry.node not in full_list.superseded:
+                return _NodeRecord(entry, full_list.addresses[entry.node])
         return None
 
-    def _next_unlisted(self, whole: _FullList) -> _NodeRecord | None:
-        if whole.unlisted is None:
-            whole.unlisted = iter([name for name in self._applied if name not in whole.listed])
-        for name in whole.unlisted:
-            if name not in whole.superseded and name in self._applied:
+    def _next_unlisted(self, full_list: _FullList) -> _NodeRecord | None:
+        if full_list.unlisted is None:
+            full_list.unlisted = iter([name for name in self._applied if name not in full_list.listed])
+        for name in full_list.unlisted:
+            if name not in full_list.superseded and name in self._applied:
                 known = self._applied[name]
                 return _NodeRecord(replace(known.entry, state=NodeState.GONE), known.address)
         return None
--- a/stackrouter/net/discovery.py
+++ b/stackrouter/net/discovery.py
@@ -341,7 +341,7 @@
             return False  # another answer came since, or discovery's address changed
         if now > call.until_us:
             self.counters.add("discovery.late")
-        if verdict is AnswerVerdict.TAKE:
+        if verdict is AnswerVerdict.ACCEPT:
             self._apply(read)
         self.counters.add("discovery.answers")
         self._failures = 0
--- a/tests/exchange.py
+++ b/tests/exchange.py
@@ -16,7 +16,7 @@
 
 The first line, a comment, may set `sockets=N` and `discovery=silent`.
 
-WHAT is `resp WORDS`, an array of bulk strings; `pkt TOKENS`, a length-prefixed packet; else tokens. A token is
+WHAT is `resp WORDS`, an array of bulk strings; `pkt TOKENS`, a length-prefixed packet; or tokens. A token is
 "text", u8:N, u32:N, u64:N, s:TEXT (a string with its length), fill:N (N bytes), ~N (any N bytes) or ?NAME:N
 (any N bytes, the same each time the name occurs). In words and texts `~` stands for any byte.
 """
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -62,7 +62,7 @@
         assert scheduler.index == index_before, "a refusal is not silence: ask for changes only"
     elif kind in ("news", "quiet", "slow"):
         version = (call.index or 0) + (kind != "quiet")
-        assert scheduler.answered(call, end, version) is AnswerVerdict.TAKE
+        assert scheduler.answered(call, end, version) is AnswerVerdict.ACCEPT
         if scheduler.due_us != end:  # a pause: only after immediate answers, and within a watch's 200 ms
             assert (
                 end - now < IMMEDIATE_ANSWER_US and scheduler._immediate_answers > MAX_IMMEDIATE_ANSWERS
@@ -231,7 +231,7 @@
                 with self.subTest(version=version, whole=whole, news=news, pushed=pushed):
                     scheduler = CallScheduler(call_timing(3, pushed), random.Random(1), 1000)
                     call = scheduler.begin(0)
-                    self.assertIs(scheduler.answered(call, S, version, whole, news), AnswerVerdict.TAKE)
+                    self.assertIs(scheduler.answered(call, S, version, whole, news), AnswerVerdict.ACCEPT)
                     self.assertEqual(scheduler.index, index)
 
     @given(
@@ -295,7 +295,7 @@
             self.assertTrue(scheduler.failed(late, late.until_us))
             beside = scheduler.begin(scheduler.due_us or 0)
             self.assertIs(
-                scheduler.answered(late, beside.begun_us + 5 * MS, 8, news=True), AnswerVerdict.TAKE
+                scheduler.answered(late, beside.begun_us + 5 * MS, 8, news=True), AnswerVerdict.ACCEPT
             )
             self.assertEqual((scheduler.index, scheduler.due_us), (8, beside.begun_us + 5 * MS))
             self.assertIs(scheduler.answered(beside, beside.begun_us + 9 * MS, 7), AnswerVerdict.VOID)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -22,11 +22,11 @@
     return {"name": name, "address": "127.0.0.1:1", "group": 0, "status": "up", "since_ms": since}
 
 
-def whole(*endpoints: dict[str, Any]) -> dict[str, Any]:
+def whole_list(*endpoints: dict[str, Any]) -> dict[str, Any]:
     return {"index": 1, "snapshot": True, "endpoints": list(endpoints)}
 
 
-def launched(listing: Listing, raw: dict[str, Any], now: int) -> dict[str, int]:
+def launch_times(listing: Listing, raw: dict[str, Any], now: int) -> dict[str, int]:
     return {entry.node: entry.launched_us for entry in listing.read(raw, now).entries}
 
 
@@ -37,7 +37,9 @@
         for wall_offset in (-HOUR, -5 * S, 0, 5 * S, HOUR):
             with self.subTest(wall_offset=wall_offset):
                 listing = Listing([], [], NOW, UNIX + NOW + wall_offset)
-                start = launched(listing, whole(endpoint("old", None), endpoint("new", NOW - S)), NOW)
+                start = launch_times(
+                    listing, whole_list(endpoint("old", None), endpoint("new", NOW - S)), NOW
+                )
                 self.assertEqual(start["old"], 0)
                 self.assertLessEqual(NOW - S, start["new"])
                 self.assertLessEqual(start["new"], NOW)
@@ -55,13 +57,15 @@
         started = {f"b{n}": start for n, start in enumerate(before)}
         if known:  # the startup list may be old
             older = [endpoint(name, start) for name, start in started.items() if start < 200 * S]
-            listing.read(whole(*older), NOW)
+            listing.read(whole_list(*older), NOW)
         now = NOW
         for number, (gap, delay) in enumerate([(0, 0), *joins]):
             now += gap
             if number:
                 started[f"n{number}"] = max(now - gap - delay, 0)
-            found = launched(listing, whole(*(endpoint(name, start) for name, start in started.items())), now)
+            found = launch_times(
+                listing, whole_list(*(endpoint(name, start) for name, start in started.items())), now
+            )
             for name, start in started.items():
                 self.assertLessEqual(start - start % 1000, found[name], "older than it is")
                 self.assertLessEqual(found[name], now)
@@ -74,7 +78,7 @@
                 for number, delay in enumerate((3 * S, 333_000, 2 * S)):
                     now = NOW + number * 5 * S
                     nodes.append(endpoint(f"n{number}", now - delay))
-                    found = launched(listing, whole(*nodes), now)
+                    found = launch_times(listing, whole_list(*nodes), now)
                 late = found["n2"] - (NOW + 8 * S)
                 # A clock that is behind makes the node look as young as possible, but never older than it is.
                 self.assertLessEqual(0, late)
@@ -82,9 +86,9 @@
 
     def test_mapped_start_does_not_change_with_later_estimates(self) -> None:
         listing = Listing([], [], NOW, UNIX + NOW - HOUR)
-        first = launched(listing, whole(endpoint("a", NOW - S)), NOW)
-        both = whole(endpoint("a", NOW - S), endpoint("b", NOW + 2 * S))
-        self.assertEqual(launched(listing, both, NOW + 3 * S)["a"], first["a"])
+        first = launch_times(listing, whole_list(endpoint("a", NOW - S)), NOW)
+        both = whole_list(endpoint("a", NOW - S), endpoint("b", NOW + 2 * S))
+        self.assertEqual(launch_times(listing, both, NOW + 3 * S)["a"], first["a"])
 
 
 if __name__ == "__main__":
