--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -61,7 +61,7 @@
         self.slots.clear()
 
 
-class ObservedEvent:
+class HookedEvent:
     """An event that calls `on_set` right after each `set`."""
 
     def __init__(self, event: Event, on_set: Callable[[], None]) -> None:
@@ -296,9 +296,10 @@
                     with mock.patch.object(
                         connection,
                         "_output_progress",
-                        ObservedEvent(
-                            connection._output_progress, lambda s=seen, d=listener: s.append(d.idle())
-                        ),  # type: ignore[misc]
+                        HookedEvent(
+                            connection._output_progress,
+                            lambda s=seen, d=listener: s.append(d.idle()),  # type: ignore[misc]
+                        ),
                     ):
                         session.answer()
                         self.assertEqual(sock.recv(100), b"x\n")
