--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from hypothesis import given
+from hypothesis import example, given
 from hypothesis import strategies as st
 
 from stackrouter.membership.asking import (
@@ -110,6 +110,7 @@
         st.lists(st.sampled_from(("reset", "refused", "refused", "silent", "slow")), max_size=4),
         st.none() | st.integers(0, 3),
     )
+    @example(0, 200, 7, ["refused"], 0, ["refused", "silent"], None)  # 6.91 s
     def test_changes_arrive_in_time_whatever_calls_failed_or_were_refused(
         self, seed: int, gateways: int, known: int | None, earlier: list[str], change_after: int,
         later: list[str], move_after_call: int | None,
