--- a/stackrouter/__main__.py
+++ b/stackrouter/__main__.py
@@ -42,29 +42,31 @@
 from stackrouter.net.listener import LINGER_S, Listener, Session
 from stackrouter.net.pool import Pool
 from stackrouter.ops.drain import Drain
-from stackrouter.ops.retune import BIND_S, merge
+from stackrouter.ops.retune import BIND_DELAY_S, merge
 
 if TYPE_CHECKING:
     from stackrouter.edge.wiring import Extras
     from stackrouter.sharing.buckets import SharedBuckets
     from stackrouter.sharing.room import ProcessRooms
 
-SERVE_ON_S = 0.5  # after SIGTERM clients still come for a while; before 0.7 s the door must be shut
+STOP_DELAY_S = 0.5  # clients still connect for a while after SIGTERM; listeners must be closed before 0.7 s
 FINISH_STEP_S = 0.02
-LOOK_AROUND_S = 0.05  # sharing.mode.IDLE_LOOK_US: how soon an idle process sees that another has come
-FILES_PART = 4  # one in so many client sockets is kept for the SFTP front, while that is on
-DEFAULT_FOLDER = "/tmp"  # where TMPDIR is not set, as everywhere
+PROCESS_POLL_S = 0.05  # sharing.mode.IDLE_LOOK_US: how soon an idle process notices another one
+SFTP_SOCKET_DIVISOR = 4  # one in 4 client sockets is reserved for the SFTP front, if it is enabled
+DEFAULT_TMP_DIR = "/tmp"  # if TMPDIR is not set
 EXIT_CONFIG = 2
-GC_THRESHOLD = 10_000  # objects between collections: few are left in cycles, and looking costs
+GC_THRESHOLD = 10_000  # objects between collections: few objects are in cycles, and a collection takes time
 
 logger = logging.getLogger(__name__)
 
 
 class Gateway:
+    """The gateway process: its components, and the handlers of signals and admin calls."""
+
     def __init__(self, config: Config, sftp: SftpConfig | None) -> None:
         self.counters = Counters()
         self.config = config
-        shared = share(config, self.counters)
+        shared = open_shared_limits(config, self.counters)
         limits = shared[0] if shared else None
         self.engine = Engine(config.settings, config.max_open, self.counters, shared=limits)
         self.pool = Pool(config.node_sockets, config.answer_bytes, config.connect_timeout_us,
@@ -84,17 +86,17 @@
         self.discovery.start_with(known)
         gevent.spawn(self.engine.run)
         gevent.spawn(self.discovery.run)
-        self.drain = Drain()  # standby and active on the operators' door; PING tells the front
+        self.drain = Drain()  # set by the admin calls standby and active, reported to the front by PING
         self.names = names = Names(
             config.classes, config.plans, config.settings, config.shards, drain=self.drain
         )
-        session: Callable[..., Session] = partial(PlatformSession, self.engine, names, self.counters)
+        new_session: Callable[..., Session] = partial(PlatformSession, self.engine, names, self.counters)
         self.listeners = [
             Listener(
                 config.listen,
                 0,
                 self.counters,
-                session,
+                new_session,
                 PATIENCE,
                 BUSY,
                 config.listen_fd,
@@ -103,60 +105,60 @@
             )
         ]
         if sftp is not None:
-            session = partial(SftpSession, Shared(sftp, self.engine, self.counters))
+            new_session = partial(SftpSession, Shared(sftp, self.engine, self.counters))
             self.listeners.append(
                 Listener(
                     sftp.listen,
                     0,
                     self.counters,
-                    session,
+                    new_session,
                     SFTP_PATIENCE,
                     b"",
                     drain=self.drain,
                     gate=self.engine.gate,
                 )
             )
-        self._sharers = 1  # processes of this gateway that serve
-        self._limit(config)
+        self._processes = 1  # number of serving processes of this gateway
+        self._apply_limits(config)
         if shared is not None:
-            self.engine.on_sharers = self._share_memory
-            gevent.spawn(self._look_around, shared[1])
+            self.engine.on_sharers_changed = self._apply_process_count
+            gevent.spawn(self._poll_processes, shared[1])
         self._terminated = Event()
         self.admin = Admin(config.admin, self.answer) if config.admin else None
-        self.extras: Extras | None = None  # what the operator's file turns on
-        self._binding: gevent.Greenlet[..., None] | None = None  # classes rebound after a SIGHUP
+        self.extras: Extras | None = None  # features that the operator's file turns on
+        self._bind_timer: gevent.Greenlet[..., None] | None = None  # binds class names after a SIGHUP
 
-    def _limit(self, config: Config) -> None:
-        """All processes of this gateway together hold its memory and its sockets."""
+    def _apply_limits(self, config: Config) -> None:
+        """Applies this process's part of the gateway's memory and sockets, which its processes share."""
         self.config = config
-        self.engine.max_open = config.max_open // self._sharers
-        self.pool.budget.most = config.answer_bytes // self._sharers
-        self._limit_sockets(config.client_sockets, config.node_sockets)
+        self.engine.max_open = config.max_open // self._processes
+        self.pool.budget.most = config.answer_bytes // self._processes
+        self._apply_socket_limits(config.client_sockets, config.node_sockets)
 
-    def _limit_sockets(self, clients: int, nodes: int) -> None:
+    def _apply_socket_limits(self, clients: int, nodes: int) -> None:
         self.pool.most = nodes
-        # The second front's clients come out of the same budget of sockets.
-        files = clients // FILES_PART if len(self.listeners) > 1 else 0
-        for listener, most in zip(self.listeners, (clients - files, files), strict=False):
+        # The clients of the SFTP front share the same socket budget.
+        sftp_sockets = clients // SFTP_SOCKET_DIVISOR if len(self.listeners) > 1 else 0
+        for listener, most in zip(self.listeners, (clients - sftp_sockets, sftp_sockets), strict=False):
             listener.most = most
 
-    def _share_memory(self, sharers: int) -> None:
-        self._sharers = sharers
-        self._limit(self.config)
+    def _apply_process_count(self, processes: int) -> None:
+        self._processes = processes
+        self._apply_limits(self.config)
 
-    def _look_around(self, rooms: ProcessRooms) -> None:
-        """See who else serves, and how many sockets that leaves to this process."""
+    def _poll_processes(self, rooms: ProcessRooms) -> None:
+        """Polls for other processes of this gateway, and applies the sockets that they leave to this one."""
         while True:
             clients = sum(listener.held() for listener in self.listeners)
             config = self.config
-            self._limit_sockets(*rooms.most(
+            self._apply_socket_limits(*rooms.most(
                 (config.client_sockets, clients), (config.node_sockets, self.pool.held())
             ))  # fmt: skip
-            gevent.sleep(LOOK_AROUND_S)
-            self.engine.look_around()
+            gevent.sleep(PROCESS_POLL_S)
+            self.engine.wake()
 
     def reload(self) -> None:
-        """Read the configuration file again; one that cannot be used changes nothing."""
+        """Reloads the configuration file; an invalid file changes nothing."""
         try:
             config = reload()
             settings, bound, unknown = merge(self.engine.settings.classes, config.settings, config.classes,
@@ -166,53 +168,54 @@
             tell(logger, error, "keeping the old configuration")
             return
         self.counters.add("reloads.done")
-        self._limit(config)
+        self._apply_limits(config)
         self.discovery.move(config.discovery)
         if self.extras is not None and self.extras.policy_in_force():
-            what = "settings of the file are left out: a policy of the fleet is in force"
+            what = "settings of the file are ignored: a policy of the fleet is in force"
             tell(logger, PolicyInForceError(what))
             return
         self._retune(settings, bound, unknown)
         logger.info(
-            "configuration read again: discovery at %s:%d, classes %s", *config.discovery, sorted(bound)
+            "configuration reloaded: discovery at %s:%d, classes %s", *config.discovery, sorted(bound)
         )
 
     def take_policy(self, text: str) -> None:
-        """Serve under these settings from now on; open requests keep their rules. ConfigError:
-        nothing has changed."""
+        """Applies the settings of a policy; open requests keep their rules. If the policy is invalid, it
+        raises ConfigError and changes nothing."""
         config = with_policy(text)
         settings, bound, unknown = merge(self.engine.settings.classes, config.settings, config.classes,
                                          self.names.classes, config.writes_stated)  # fmt: skip
-        self._limit(config)
+        self._apply_limits(config)
         self._retune(settings, bound, unknown)
-        if self._binding is not None:
-            self._binding.kill(block=False)
-        self._bind(bound)
+        if self._bind_timer is not None:
+            self._bind_timer.kill(block=False)
+        self._bind_classes(bound)
 
     def _retune(self, settings: Settings, bound: dict[str, int], unknown: set[int]) -> None:
-        """Open requests keep their class's index; names of new classes are known at once, and every name
-        takes its new rules BIND_S later, when clients begin to use them."""
+        """Applies new settings. Open requests keep their class's index; names of new classes are valid at
+        once, and every name gets its new rules BIND_DELAY_S later, when clients begin to use them."""
         self.engine.retune(settings)
         self.names.settings = settings
         self.names.unchecked |= unknown
         self.names.classes.update(
             {name: index for name, index in bound.items() if name not in self.names.classes}
         )
-        if self._binding is not None:
-            self._binding.kill(block=False)
-        self._binding = gevent.spawn_later(BIND_S, self._bind, bound)
+        if self._bind_timer is not None:
+            self._bind_timer.kill(block=False)
+        self._bind_timer = gevent.spawn_later(BIND_DELAY_S, self._bind_classes, bound)
 
-    def _bind(self, bound: dict[str, int]) -> None:
-        self._binding = None
+    def _bind_classes(self, bound: dict[str, int]) -> None:
+        self._bind_timer = None
         self.names.classes.clear()
         self.names.classes.update(bound)
 
     def terminate(self) -> None:
+        """Starts the planned stop."""
         self._terminated.set()
 
     def answer(self, call: str) -> str:
-        """The operators' door: `status` says whether this process serves; `standby` empties the gateway
-        (PING says no, connections close once nothing is owed on them); `active` ends the drain."""
+        """Answers a call on the admin port. `status`: whether this process serves; `standby`: begins a drain
+        (PING is negative, connections are closed once all answers on them are written); `active`: ends it."""
         now = time.monotonic()
         if call == "status":
             if self._terminated.is_set():
@@ -223,13 +226,15 @@
         if call == "standby":
             began = self.drain.standby(now)
             self.counters.add("drains.begun" if began else "drains.again")
-            logger.info("standby: PING says no, client connections close once nothing is owed on them")
+            logger.info(
+                "standby: PING is negative, client connections are closed once their answers are written"
+            )
             for listener in self.listeners:
                 listener.close_drained()
             return f"SUCCESS {self.drain.status(now)}"
         if call == "active":
             self.counters.add("drains.ended" if self.drain.active() else "drains.none")
-            logger.info("active: PING says yes")
+            logger.info("active: PING is positive")
             return "SUCCESS serving"
         if call.startswith("policy ") and self.extras is not None:
             return self.extras.policy_call(call)
@@ -238,33 +243,36 @@
         return f"FAILURE {DoorCallError(f'{call[:40]!r}: not a call of this gateway').coded()}"
 
     def print_counters(self) -> None:
+        """Prints the counters to standard error as one line of JSON."""
         print(self.counters.line(), file=sys.stderr, flush=True)
         if self.extras is not None:
             self.extras.print_figures()
 
     def serve(self) -> None:
-        """Ready from here on; returns once a stop has been asked for and all taken requests are answered."""
+        """Serves until a stop is requested; returns once all requests taken by then are answered."""
         self._terminated.wait()
         self.engine.stop()
         if self.extras is not None:
             self.extras.leave()
-        gevent.sleep(SERVE_ON_S)
+        gevent.sleep(STOP_DELAY_S)
         for listener in self.listeners:
             listener.stop()
-        # A client that never reads its answer must not hold the exit until the platform kills the program.
+        # Bounded: a client that never reads its answer must not delay the exit until the platform kills it.
         until_us = clock_us() + max(c.deadline_us for c in self.engine.settings.classes)
         while clock_us() < until_us and not (self.engine.idle() and all(li.idle() for li in self.listeners)):
             gevent.sleep(FINISH_STEP_S)
-        # The last answers may still be on their way: an exit over what clients send meanwhile resets them.
+        # The last answers may be in transit: exiting with unread bytes of clients resets their connections.
         until_us = min(until_us, clock_us() + int(LINGER_S * 1e6))
         while any([li.leave() for li in self.listeners]) and clock_us() < until_us:
             gevent.sleep(FINISH_STEP_S)
 
 
-def share(config: Config, counters: Counters) -> tuple[SharedBuckets, ProcessRooms] | None:
-    """Where the listening socket is inherited, other processes of this gateway may spend of its limits.
+def open_shared_limits(config: Config, counters: Counters) -> tuple[SharedBuckets, ProcessRooms] | None:
+    """Opens the limits and socket budgets shared with other processes of this gateway. Returns None if the
+    listening socket is not inherited: then there are no other processes.
 
-    Both serve for seconds at an upgrade: with a whole part of a limit in each, volumes got twice the rate.
+    At an upgrade two processes serve for seconds. When each had the whole part of a limit, volumes got twice
+    the rate.
     """
     if config.listen_fd is None:
         return None
@@ -273,7 +281,7 @@
     from stackrouter.sharing.presence import SocketPresence
     from stackrouter.sharing.room import ProcessRooms
 
-    folder = os.environ.get("TMPDIR") or DEFAULT_FOLDER
+    folder = os.environ.get("TMPDIR") or DEFAULT_TMP_DIR
     log_file = SharedFile(folder, config.name, config.listen_fd)
     presence = SocketPresence(config.listen_fd)
     buckets = SharedBuckets(config.settings, presence, log_file, counters, clock_us)
@@ -281,9 +289,9 @@
 
 
 def load_extras(config: Config) -> Extras | None:
-    """What the operator's file asks for; without one, none of it is even imported."""
+    """Loads the features that the operator's file turns on; without a file their modules aren't imported."""
     if os.environ.get("GW_SFTP"):
-        what = "is no more: name a file like deploy/edge.txtpb, with a part sftp, in GW_EDGE"
+        what = "is no more supported: set GW_EDGE to a file like deploy/edge.txtpb, with a section sftp"
         raise VariableError(what, key="GW_SFTP")
     path = os.environ.get("GW_EDGE")
     if not path:
@@ -294,11 +302,11 @@
 
 
 def main() -> int:
-    # What is told while the start is under way is done once it is over: a file that was changed after it had
-    # been read here would else never be read, and a stop would cut off whoever has connected already.
-    early: list[int] = []
+    # Signals during the start are recorded and handled after it. Otherwise a file that changed after it was
+    # read here would never be reloaded, and a stop would cut off clients that have already connected.
+    pending_signals: list[int] = []
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda told, _: early.append(told))
+        signal.signal(number, lambda received, _: pending_signals.append(received))
     log.start()
     try:
         config = load()
@@ -312,23 +320,23 @@
             extras.observe(gateway.discovery, gateway.counters, gateway.engine, gateway.take_policy)
             gateway.extras = extras
     except (StackrouterError, OSError) as error:
-        wrong = error if isinstance(error, StackrouterError) else StartSystemError(error)
-        print(f"stackrouter: {wrong.whole()}", file=sys.stderr)
+        startup_error = error if isinstance(error, StackrouterError) else StartSystemError(error)
+        print(f"stackrouter: {startup_error.whole()}", file=sys.stderr)
         return EXIT_CONFIG
     gevent.signal_handler(signal.SIGTERM, gateway.terminate)
     gevent.signal_handler(signal.SIGINT, gateway.terminate)
     gevent.signal_handler(signal.SIGHUP, gateway.reload)
     gevent.signal_handler(signal.SIGUSR1, gateway.print_counters)
-    if signal.SIGHUP in early:
+    if signal.SIGHUP in pending_signals:
         gateway.reload()
-    if signal.SIGTERM in early or signal.SIGINT in early:
+    if signal.SIGTERM in pending_signals or signal.SIGINT in pending_signals:
         gateway.terminate()
-    gc.freeze()  # what is loaded now stays: a collection need not look at it
+    gc.freeze()  # excludes what is loaded now from collections, since it stays for good
     gc.set_threshold(GC_THRESHOLD)
     logger.info("listening on %s:%d, limits %s", *gateway.listeners[0].address, config.limits)
     gateway.serve()
     for number in (signal.SIGTERM, signal.SIGINT):
-        # A second one while the interpreter ends would end the process by the signal.
+        # A second signal during the exit of the interpreter would kill the process.
         signal.signal(number, signal.SIG_IGN)
     gateway.print_counters()
     if gateway.extras is not None:
--- a/stackrouter/config.py
+++ b/stackrouter/config.py
@@ -1,4 +1,4 @@
-"""What the gateway is told: GW_* and the JSON file that GW_CONFIG names."""
+"""The gateway's configuration: the variables GW_* and the JSON file that GW_CONFIG names."""
 
 from __future__ import annotations
 
@@ -21,16 +21,20 @@
 )
 from stackrouter.ops.retune import check
 
-SPARE_SOCKETS = 32  # descriptors kept back: the log, the event loop, listeners, discovery
-CLIENT_PART = 0.6  # of the rest go to clients, the others to nodes
-OPEN_BYTES = 128 * 1024  # what an open request may hold: its body and its answer
-PROGRAM_BYTES = 24 << 20  # what the program needs by itself
-ANSWER_PART = 0.3  # part of the rest for answers of more than 64 KiB: an answer is there up to three times
-OPEN_PART = 0.5  # part of the memory that open requests may fill
+SPARE_SOCKETS = 32  # descriptors reserved for the log, the event loop, listeners and discovery
+CLIENT_PART = 0.6  # share of the remaining descriptors for clients; the others are for nodes
+OPEN_REQUEST_BYTES = 128 * 1024  # memory of an open request: its body and its answer
+BASE_PROCESS_BYTES = 24 << 20  # memory of the process without requests
+LARGE_ANSWER_SHARE = (
+    0.3  # of the memory above BASE_PROCESS_BYTES, for answers over 64 KiB: up to three copies each
+)
+OPEN_REQUEST_SHARE = 0.5  # share of the memory that open requests may use
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The configuration as the gateway uses it. Times are microseconds, sizes bytes."""
+
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
@@ -40,7 +44,7 @@
     plans: dict[str, int]
     zones: list[str]
     kinds: list[str]
-    shards: int  # numbered from 0; 0: not stated
+    shards: int  # number of shards, which are numbered from 0; 0: not stated
     limits: dict[str, Any]
     max_open: int
     answer_bytes: int
@@ -48,15 +52,16 @@
     keepalive_us: int
     client_sockets: int
     node_sockets: int
-    listen_fd: int | None = None  # the clients' listening socket, held by the platform during an upgrade
-    admin: tuple[str, int] | None = None  # the operators' door
+    listen_fd: int | None = None  # the inherited client listener, held open by the platform at an upgrade
+    admin: tuple[str, int] | None = None  # address of the admin port
     writes_stated: bool = True  # FamilyInfo.ClassWrites has a flag for each class of Profiles
 
 
-NO_ADDRESS = "0.0.0.0:0"  # where a file must have one and none is used
+PLACEHOLDER_ADDRESS = "0.0.0.0:0"  # for files that must have an address that is never used
 
 
 def address_of(text: Any, name: str) -> tuple[str, int]:
+    """Parses ADDRESS:PORT. Raises AddressError with `name` as its key."""
     host, _, port = str(text or "").rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
         raise AddressError(f"not an address: {text!r}", key=name)
@@ -64,7 +69,7 @@
 
 
 def descriptor_of(text: str | None) -> int | None:
-    """GW_LISTEN_FD: a descriptor that this process inherited, or unset or empty for none."""
+    """Parses GW_LISTEN_FD: the number of an inherited descriptor; unset or empty: None."""
     if not text:
         return None
     if not text.isdigit():
@@ -73,7 +78,8 @@
 
 
 def load(environ: Mapping[str, str] = os.environ, strict: bool = False) -> Config:
-    """`strict`: also what a change of settings may not have (ops.retune.check): a file read again."""
+    """Reads the configuration. `strict`: with the stricter checks for a reload (ops.retune.check). Raises
+    ConfigError."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise UnsetError("is not set", key="GW_CONFIG")
@@ -96,13 +102,13 @@
 
 
 def reload(environ: Mapping[str, str] = os.environ) -> Config:
-    """The file as it is now. What it says of discovery is newer than the GW_DISCOVERY of the start."""
+    """Reads the file again. Its discovery address replaces GW_DISCOVERY, which is from the start."""
     return load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"}, strict=True)
 
 
 def with_policy(text: str, environ: Mapping[str, str] = os.environ) -> Config:
-    """This gateway's own file with the settings of a policy that holds for many: all but its own place among
-    them, `Position`. ConfigError names the key; plans and their order cannot change while running."""
+    """This gateway's own file with the settings of a policy for many gateways, except `Position`, its own
+    place among them. Raises ConfigError with the key; plans and their order cannot change while running."""
     try:
         with open(environ.get("GW_CONFIG") or "", encoding="utf-8") as file:
             raw = json.load(file)
@@ -112,11 +118,15 @@
 
 
 def check_policy(text: str, newest: str = "") -> None:
-    """Check a policy where no gateway's own file is at hand, as in a control replica. `newest`: the version
-    that it follows, whose plans must stay; empty: it is the first. Errors as in `with_policy`."""
+    """Checks a policy without a gateway's own file, as a control replica has to. `newest`: the previous
+    version, whose plans must not change; empty if there is none. Raises ConfigError as `with_policy` does."""
     base = newest or text
     try:
-        raw = {"listen": NO_ADDRESS, "discovery": NO_ADDRESS, "settings": json.loads(base)["settings"]}
+        raw = {
+            "listen": PLACEHOLDER_ADDRESS,
+            "discovery": PLACEHOLDER_ADDRESS,
+            "settings": json.loads(base)["settings"],
+        }
     except KeyError as error:
         raise ConfigKeyError("key is missing", file="policy", key=str(error.args[0])) from None
     except (TypeError, ValueError) as error:
@@ -125,16 +135,16 @@
 
 
 def _under_policy(raw: dict[str, Any], text: str, environ: Mapping[str, str]) -> Config:
-    """A gateway's file with the settings of a policy."""
+    """Replaces the settings in the content of a gateway's file (`raw`) by those of a policy (`text`)."""
     try:
-        told = json.loads(text)
-        check(told, text)
-        plans = [[g["Name"] for g in s["Grades"]] for s in (raw["settings"], told["settings"])]
+        policy = json.loads(text)
+        check(policy, text)
+        plans = [[g["Name"] for g in s["Grades"]] for s in (raw["settings"], policy["settings"])]
         if plans[0] != plans[1]:
             raise ConfigValueError(
                 f"must name the plans that the gateways started with, {plans[0]}", file="policy", key="Grades"
             )
-        raw["settings"] = told["settings"] | {"Position": raw["settings"].get("Position", 0)}
+        raw["settings"] = policy["settings"] | {"Position": raw["settings"].get("Position", 0)}
         return _config(raw, environ)
     except RetuneError as error:
         raise error.within("policy") from None
@@ -153,9 +163,11 @@
         name=str(environ.get("GW_NAME") or raw.get("name") or "gateway"),
         listen=address_of(environ.get("GW_LISTEN") or raw.get("listen"), "GW_LISTEN"),
         listen_fd=descriptor_of(environ.get("GW_LISTEN_FD")),
-        admin=address_of(door, "GW_ADMIN") if (door := environ.get("GW_ADMIN") or raw.get("admin")) else None,
+        admin=address_of(admin_address, "GW_ADMIN")
+        if (admin_address := environ.get("GW_ADMIN") or raw.get("admin"))
+        else None,
         discovery=address_of(environ.get("GW_DISCOVERY") or raw.get("discovery"), "GW_DISCOVERY"),
-        # On sockets a refusal can always say when to come back, whatever the simulator's clients hear.
+        # On real connections a refusal can always carry a retry delay, whatever the simulator supports.
         settings=replace(
             settings_of(conf, int(str(raw.get("seed") or "0"), 16)),
             retry_after_most_us=int(caps.get("MaxRetryAfterUs") or 0),
@@ -168,8 +180,10 @@
         shards=int((conf.get("FamilyInfo") or {}).get("Shards") or 0),
         writes_stated=len((conf.get("FamilyInfo") or {}).get("ClassWrites") or []) == len(conf["Profiles"]),
         limits=limits,
-        max_open=min(int(caps.get("MaxOpen") or 1 << 30), int(memory * OPEN_PART) // OPEN_BYTES),
-        answer_bytes=int(max(0, memory - PROGRAM_BYTES) * ANSWER_PART),
+        max_open=min(
+            int(caps.get("MaxOpen") or 1 << 30), int(memory * OPEN_REQUEST_SHARE) // OPEN_REQUEST_BYTES
+        ),
+        answer_bytes=int(max(0, memory - BASE_PROCESS_BYTES) * LARGE_ANSWER_SHARE),
         connect_timeout_us=int(caps.get("ConnectTimeoutUs") or 250_000),
         keepalive_us=int(caps.get("KeepaliveUs") or 15_000_000),
         client_sockets=int(sockets * CLIENT_PART),
--- a/stackrouter/core/__init__.py
+++ b/stackrouter/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and their outcomes; knows no wire."""
+"""Requests, attempts and their outcomes, independent of any wire protocol."""
--- a/stackrouter/core/counters.py
+++ b/stackrouter/core/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the gateway takes in, sends and answers."""
+"""Counters of what the gateway receives, sends and answers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Counters:
-    """Names are `part.what`; a name appears with its first count."""
+    """Counters named `component.event`; a name exists from its first count on."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
@@ -19,4 +19,5 @@
         return self._counts[name]
 
     def line(self) -> str:
+        """All counters as one line of JSON, sorted by name."""
         return json.dumps(dict(sorted(self._counts.items())), separators=(",", ":"))
--- a/stackrouter/core/engine.py
+++ b/stackrouter/core/engine.py
@@ -1,6 +1,6 @@
-"""The owner of the decision module: one greenlet turns what happens into events and actions into deeds.
+"""The engine that runs the decision module: one greenlet feeds it events and executes its actions.
 
-Everything else reaches it through one queue (`submit`, `withdraw`, `ended`, `listed`).
+Other greenlets reach the engine only through its queue (`submit`, `withdraw`, `ended`, `listed`, `retune`).
 """
 
 from __future__ import annotations
@@ -53,134 +53,145 @@
 
 log = logging.getLogger(__name__)
 
-TICK: tuple[Callable[..., None], tuple[Any, ...]] = (lambda: None, ())  # something has fallen due
-MOST_ROUNDS = 100  # events that actions cause at once are handled in rounds; more than this is a loop
+# Queued to wake the loop when a timer may be due.
+WAKE_UP: tuple[Callable[..., None], tuple[Any, ...]] = (lambda: None, ())
+MAX_ROUNDS = 100  # rounds of one step, as actions may cause new events; more rounds than this are a loop
 
 
 def clock_us() -> int:
+    """The monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
 
 
-def drop(timer: WheelTimer | None) -> None:
-    """What is over must not be held, with its body, until its timer comes round."""
+def cancel_timer(timer: WheelTimer | None) -> None:
+    """Cancels a timer, so that it doesn't keep a finished request and its body in memory until it is due."""
     if timer is not None:
-        timer.drop()
+        timer.cancel()
 
 
 class Engine:
+    """Holds the open requests and the known nodes, and executes the actions of the decision module."""
+
     def __init__(self, settings: Settings, max_open: int, counters: Counters,
                  clock: Callable[[], int] = clock_us,
                  shared: SharedLimits | None = None) -> None:  # fmt: skip
-        """`shared`: limits that other processes of this gateway may spend of too; None: there are none."""
+        """`shared`: limits that other processes of this gateway may draw on too; None if there are none."""
         self.settings, self.max_open, self.counters, self.clock = settings, max_open, counters, clock
         self.gate = Gate()
         self.violations = ViolationLog(counters, settings.drain_grace_us, settings.plans, settings.max_units)
-        self.tap: facts.Tap | None = None  # None: nobody reads, nothing is made
+        self.tap: facts.Tap | None = None  # None: there are no subscribers, so no facts are created
         self.transport: Transport | None = None
         self.fetch_list: Callable[[], None] = lambda: None
-        # Asked with each new request: whether none may be taken now. None: nobody asks for that.
+        # Called for each new request; true refuses it. None: requests are never held back.
         self.held: Callable[[], bool] | None = None
-        # Told how many processes of this gateway serve, when that changes.
-        self.on_sharers: Callable[[int], None] = lambda sharers: None
-        self._shared = shared
+        # Called with the number of serving processes of this gateway whenever that number changes.
+        self.on_sharers_changed: Callable[[int], None] = lambda sharers: None
+        self._shared_limits = shared
         if shared is not None:
-            self.gate.charge_holds = shared.may_draw
+            self.gate.charge_valid = shared.may_draw
             shared.on_claims(self.violations.limits.claimed)
         self.controller = Controller(settings, shared or LimitBuckets(settings.max_units, track_writes=True))
         self.requests: dict[str, Request] = {}
         self.nodes: dict[str, Node] = {}
         self._queue: SimpleQueue[tuple[Callable[..., None], tuple[Any, ...]]] = SimpleQueue()
         self._events: list[Event] = []
-        self._late: list[Request] = []  # past their time, to be failed if the module does not answer them now
+        # Their backstop timer has fired; they are failed unless the module answers them in the current step.
+        self._overdue_requests: list[Request] = []
         self._now = clock()
         self._wheel = Wheel(settings.step_us or 1000, self._now)
-        self._made = 0
+        self._last_id = 0
 
     # --- the queue: called from socket code
 
     def submit(self, request: Request) -> None:
+        """Queues a request read from a client."""
         self._queue.put((self._submit, (request,)))
 
     def retune(self, settings: Settings) -> None:
-        """New settings whose classes keep every index of the old ones (ops.retune.merge)."""
+        """Queues new settings, in which each existing class keeps its index (see ops.retune.merge)."""
         self._queue.put((self._retune, (settings,)))
 
     def _retune(self, settings: Settings) -> None:
         self.settings = self.controller.s = settings
         self.violations.plans = settings.plans
-        if self._shared is not None:
-            self._shared.settings = settings
+        if self._shared_limits is not None:
+            self._shared_limits.settings = settings
 
-    def look_around(self) -> None:
-        """Take a turn, so that other processes of this gateway are seen also while no request comes."""
-        self._queue.put(TICK)
+    def wake(self) -> None:
+        """Wakes the loop, so that other processes of this gateway are noticed while no requests arrive."""
+        self._queue.put(WAKE_UP)
 
     def withdraw(self, request: Request) -> None:
+        """Queues the withdrawal of a request whose client has disconnected."""
         self._queue.put((self._withdraw, (request,)))
 
     def ended(self, attempt: Attempt, reply: Reply) -> None:
+        """Queues the outcome of an attempt; called by the transport."""
         self._queue.put((self._ended, (attempt, reply)))
 
     def listed(self, kind: ListKind, version: int, entries: Sequence[NodeEntry],
                addresses: dict[str, tuple[str, int]]) -> None:  # fmt: skip
+        """Queues a list of nodes from discovery; `addresses` has one address for each entry's node."""
         self._queue.put((self._listed, (kind, version, entries, addresses)))
 
     def stop(self) -> None:
-        """SIGTERM came: what is taken from now on is answered before the process may be killed."""
+        """Called at SIGTERM: later requests are answered before the platform may kill the process."""
         self.gate.stop(self.clock(), max(c.deadline_us for c in self.settings.classes))
 
     def written(self, attempt: Attempt) -> None:
-        """Told by the transport: the attempt's last byte is out."""
-        if not attempt.request.drawn:
-            attempt.request.drawn = True
+        """Called by the transport once the attempt's last byte has been written."""
+        if not attempt.request.units_spent:
+            attempt.request.units_spent = True
             self.controller.written(attempt.request.id, self.clock())
         if self.tap is not None and attempt.live:
             self.tap(facts.Written(self.clock(), int(attempt.request.id), attempt.number, attempt.node.name))
 
     def subscribe(self, subscriber: facts.Subscriber) -> None:
-        """From now on the subscriber gets every fact, in the order in which the engine saw them."""
+        """Passes every later fact to the subscriber, in the order in which the engine observed them."""
         if self.tap is None:
             self.tap, self.controller.held = facts.Tap(), []
         self.tap.subscribers.append(subscriber)
 
     def idle(self) -> bool:
+        """Whether no request is open and the queue is empty."""
         return not self.requests and self._queue.empty()
 
     # --- the loop
 
     def run(self) -> None:
+        """The loop of the engine's greenlet; never returns."""
         loop = gevent.get_hub().loop
         alarm, due = loop.timer(0), 0
         while True:
             now = self.clock()
             wait = self._wheel.wait_us(now)
-            # The event loop's own timer, set anew once it has run or for an earlier tick: a Timeout a turn
-            # took a tenth of the CPU.
+            # One event loop timer, restarted only after it has fired or for an earlier deadline: creating a
+            # gevent Timeout in each iteration took a tenth of the CPU.
             if wait is not None and (due <= now or now + wait < due):
                 alarm.stop()
                 alarm.close()
                 alarm, due = loop.timer(wait / 1e6), now + wait
-                alarm.start(self._queue.put, TICK)
-            self._take([self._queue.get()])
+                alarm.start(self._queue.put, WAKE_UP)
+            self._handle_queued([self._queue.get()])
 
     def turn(self) -> None:
-        """Take all that has come in and all that has fallen due."""
-        self._take([])
+        """Handles everything queued and every timer that is due."""
+        self._handle_queued([])
 
-    def _take(self, batch: list[tuple[Callable[..., None], tuple[Any, ...]]]) -> None:
+    def _handle_queued(self, batch: list[tuple[Callable[..., None], tuple[Any, ...]]]) -> None:
         while not self._queue.empty():
             batch.append(self._queue.get())
         self.step(batch)
 
     def wait_us(self) -> int | None:
-        """Time until something may fall due; None: nothing waits."""
+        """Microseconds until the next timer may be due; None if there is no timer."""
         return self._wheel.wait_us(self.clock())
 
     def step(self, batch: Sequence[tuple[Callable[..., None], tuple[Any, ...]]]) -> None:
-        """What came in is taken before what fell due: an answer that is here has not timed out."""
+        """Handles queued calls before due timers: an attempt whose answer has arrived has not timed out."""
         self._now = self.clock()
-        if self._shared is not None:
-            self._shared.refresh(self._now)
+        if self._shared_limits is not None:
+            self._shared_limits.refresh(self._now)
         calls = [partial(call, *values) for call, values in batch]
         for call in calls + self._wheel.advance(self._now):
             try:
@@ -188,100 +199,101 @@
             except Exception:
                 self.counters.add("errors.engine")
                 defect(log, "engine")
-        for _ in range(MOST_ROUNDS):
-            if self._shared is not None:
-                self._take_shared(self._shared)
+        for _ in range(MAX_ROUNDS):
+            if self._shared_limits is not None:
+                self._collect_shared_events(self._shared_limits)
             if not self._events:
-                if self._late:
-                    self._fail_late()
-                elif self._shared is None or not self._shared.exchange(self._now):
+                if self._overdue_requests:
+                    self._fail_overdue()
+                elif self._shared_limits is None or not self._shared_limits.exchange(self._now):
                     return
             events, self._events = self._events, []
             try:
                 actions = self.controller.handle(self._now, events)
             except Exception:
-                # The decisions of this batch are lost; its requests end by their backstop.
+                # The decisions for this batch are lost; its requests end when their backstop timer fires.
                 self.counters.add("errors.module")
                 defect(log, "decision module")
                 continue
             if self.tap is not None:
-                self._tell_held(self.tap)
+                self._publish_held(self.tap)
             for action in actions:
                 try:
-                    self._carry_out(action)
+                    self._execute(action)
                 except Exception:
                     self.counters.add("errors.action")
-                    defect(log, f"action {type(action).__name__}")
+                    defect(log, f"executing action {type(action).__name__}")
 
-    def _take_shared(self, shared: SharedLimits) -> None:
+    def _collect_shared_events(self, shared: SharedLimits) -> None:
         for event in shared.events():
             if isinstance(event, SharersChanged):
-                self.on_sharers(event.sharers)
+                self.on_sharers_changed(event.sharers)
             self._events.append(event)
 
-    def _tell_held(self, tap: facts.Tap) -> None:
-        for request, wait in self.controller.held or ():
-            tap(facts.Held(self._now, int(request), -1 if wait == math.inf else math.ceil(wait)))
+    def _publish_held(self, tap: facts.Tap) -> None:
+        for request_id, wait in self.controller.held or ():
+            tap(facts.Held(self._now, int(request_id), -1 if wait == math.inf else math.ceil(wait)))
         if self.controller.held:
             self.controller.held.clear()
 
-    # --- what came in
+    # --- handlers of queued calls
 
-    def _submit(self, r: Request) -> None:
+    def _submit(self, request: Request) -> None:
         self.counters.add("requests.taken")
-        denial = self.gate.may_take(r.deadline_us, self._now)
-        r.deadline_us = self.gate.answer_by_us(r.deadline_us)
-        grace = r.deadline_us - self._now
-        self._made += 1
-        r.id = str(self._made)
+        denial = self.gate.may_take(request.deadline_us, self._now)
+        request.deadline_us = self.gate.answer_by_us(request.deadline_us)
+        left_us = request.deadline_us - self._now
+        self._last_id += 1
+        request.id = str(self._last_id)
         if self.tap is not None:
             self.tap(facts.Taken(
-                self._now, self._made, r.request_class, r.plan, r.volume, r.units, r.shard, r.gateways,
-                r.deadline_us, r.repeat, r.write,
+                self._now, self._last_id, request.request_class, request.plan, request.volume, request.units,
+                request.shard, request.gateways, request.deadline_us, request.repeat, request.write,
             ))  # fmt: skip
         if denial is Denial.STOPPING:
             self.counters.add("requests.over_at_stop")
-            self._answer(r, Result(Verdict.REFUSED, pause_us=0))
+            self._answer(request, Result(Verdict.REFUSED, pause_us=0))
             return
         if len(self.requests) >= self.max_open or (self.held is not None and self.held()):
             self.counters.add("requests.over_max_open")
-            pause = min(min(c.aim_us for c in self.settings.classes), self.settings.retry_after_most_us)
-            self._answer(r, Result(Verdict.REFUSED, pause_us=pause))
+            pause_us = min(min(c.aim_us for c in self.settings.classes), self.settings.retry_after_most_us)
+            self._answer(request, Result(Verdict.REFUSED, pause_us=pause_us))
             return
         arrival = Arrival(
-            r.id, r.request_class, r.plan, r.volume, r.units, r.shard, r.gateways, r.key, max(0, grace),
-            r.repeat, r.write,
+            request.id, request.request_class, request.plan, request.volume, request.units, request.shard,
+            request.gateways, request.key, max(0, left_us), request.repeat, request.write,
         )  # fmt: skip
-        self.requests[r.id] = r
-        cls = self.settings.classes[r.request_class]
-        if cls.effect is not Effect.SAFE:
-            r.repeat_us = cls.key_ttl_us if cls.effect is Effect.KEYED else 0
-        # Backstop: whatever goes wrong in between, the request gets its answer within the slack.
-        overdue = r.deadline_us + self.settings.answer_slack_us // 2
-        r.backstop = self._wheel.add(overdue, lambda: self._overdue(r))
+        self.requests[request.id] = request
+        request_class = self.settings.classes[request.request_class]
+        if request_class.effect is not Effect.SAFE:
+            request.repeat_window_us = request_class.key_ttl_us if request_class.effect is Effect.KEYED else 0
+        # Whatever goes wrong in between, this timer gets the request answered within the answer slack.
+        overdue_us = request.deadline_us + self.settings.answer_slack_us // 2
+        request.backstop = self._wheel.add(overdue_us, lambda: self._on_overdue(request))
         self._events.append(arrival)
 
-    def _overdue(self, r: Request) -> None:
-        """Where this process ran late, the module's own answer has fallen due too: it goes first."""
-        if not r.answered:
-            self._late.append(r)
+    def _on_overdue(self, request: Request) -> None:
+        """If this process was delayed, the module's own timer for the request is due as well: let it answer
+        first."""
+        if not request.answered:
+            self._overdue_requests.append(request)
 
-    def _fail_late(self) -> None:
-        late, self._late = self._late, []
-        for r in late:
-            if not r.answered:
+    def _fail_overdue(self) -> None:
+        overdue, self._overdue_requests = self._overdue_requests, []
+        for request in overdue:
+            if not request.answered:
                 self.counters.add("requests.overdue")
-                self._events.append(Withdrawn(r.id))
-                self._answer(r, Result(Verdict.FAILED))
+                self._events.append(Withdrawn(request.id))
+                self._answer(request, Result(Verdict.FAILED))
 
-    def _withdraw(self, r: Request) -> None:
-        if not r.answered:
+    def _withdraw(self, request: Request) -> None:
+        if not request.answered:
             self.counters.add("requests.withdrawn")
-            r.answered, r.gone_us = True, self._now
+            request.answered, request.client_gone_us = True, self._now
             if self.tap is not None:
-                self.tap(facts.GivenUp(self._now, int(r.id)))
-            self._events.append(Withdrawn(r.id))
-            self._forget(r)
+                self.tap(facts.GivenUp(self._now, int(request.id)))
+            self._events.append(Withdrawn(request.id))
+            self._forget(request)
 
     def _listed(self, kind: ListKind, version: int, entries: Sequence[NodeEntry],
                 addresses: dict[str, tuple[str, int]]) -> None:  # fmt: skip
@@ -290,10 +302,10 @@
             self.tap(facts.Listed(self._now, kind, version, tuple(entries)))
         gone: dict[str, Node] = {}
         if kind in (ListKind.FULL, ListKind.CACHED):
-            named = {entry.node for entry in entries}
-            gone = {name: node for name, node in self.nodes.items() if name not in named}
+            listed = {entry.node for entry in entries}
+            gone = {name: node for name, node in self.nodes.items() if name not in listed}
             for node in gone.values():
-                node.told(NodeState.GONE, self._now)
+                node.update_state(NodeState.GONE, self._now)
         for entry in entries:
             known = self.nodes.get(entry.node)
             address = addresses[entry.node]
@@ -303,12 +315,12 @@
                 )
             else:
                 known.address, known.shard = address, entry.shard
-                known.told(entry.state, self._now)
+                known.update_state(entry.state, self._now)
             if known.state is NodeState.GONE:
                 gone[entry.node] = known
         for node in gone.values():
             if node.state is not NodeState.GONE:
-                continue  # named twice, the last entry counts
+                continue  # the list names the node twice: the last entry counts
             del self.nodes[node.name]
             if self.transport:
                 self.transport.close_idle(node.name)
@@ -316,40 +328,45 @@
 
     def _ended(self, attempt: Attempt, reply: Reply) -> None:
         if not attempt.live:
-            return  # given up before: its outcome is told already
-        r, served = attempt.request, reply.outcome is Outcome.DONE
+            return  # given up before: the module already has its outcome
+        request, served = attempt.request, reply.outcome is Outcome.DONE
         attempt.live = False
-        drop(attempt.timeout)
-        del r.out[attempt.number]
+        cancel_timer(attempt.timeout)
+        del request.in_flight[attempt.number]
         if attempt.may_have_run and reply.outcome is not Outcome.FULL:
-            r.ran_us = attempt.sent_us if r.ran_us is None else min(r.ran_us, attempt.sent_us)
+            request.first_run_us = (
+                attempt.sent_us
+                if request.first_run_us is None
+                else min(request.first_run_us, attempt.sent_us)
+            )
         self.counters.add(f"attempts.{reply.outcome.value}")
-        self._tell_story(attempt, reply)
+        self._log_attempt(attempt, reply)
         if self.tap is not None:
             self.tap(facts.Ended(
-                self._now, int(r.id), attempt.number, attempt.node.name, reply.outcome,
+                self._now, int(request.id), attempt.number, attempt.node.name, reply.outcome,
                 -1 if reply.used_percent is None else reply.used_percent, reply.elsewhere_units, reply.report,
             ))  # fmt: skip
-        closed = served or r.answered
+        closed = served or request.answered
         if served:
-            self._answer(r, Result(Verdict.SERVED, reply.value, lease=reply.lease))
+            self._answer(request, Result(Verdict.SERVED, reply.value, lease=reply.lease))
         self._events.append(
             Answer(
-                r.id, attempt.number, attempt.node.name, reply.outcome, closed, self._now - attempt.sent_us,
-                reply.elsewhere_units, 0 if reply.used_percent is None else reply.used_percent + 1,
+                request.id, attempt.number, attempt.node.name, reply.outcome, closed,
+                self._now - attempt.sent_us, reply.elsewhere_units,
+                0 if reply.used_percent is None else reply.used_percent + 1,
                 reply.report,
             )
         )  # fmt: skip
-        self._forget(r)
+        self._forget(request)
 
-    def _tell_story(self, attempt: Attempt, reply: Reply) -> None:
-        """What the log needs to answer for this request: nothing where its first attempt is served."""
+    def _log_attempt(self, attempt: Attempt, reply: Reply) -> None:
+        """Records a failed attempt for the log line that is written if the request fails."""
         if reply.outcome is Outcome.DONE:
             return
         node, request = attempt.node, attempt.request
         after_ms = (self._now - attempt.sent_us) // 1000
         why = f", {reply.denial}" if reply.denial else ""
-        request.story.append(
+        request.attempt_log.append(
             f"{node.name} ({node.state.name.lower()}): {reply.outcome.value}{why} after {after_ms} ms"
         )
 
@@ -357,80 +374,89 @@
         if attempt.live:
             if self.transport:
                 self.transport.give_up(attempt)
-            # Nothing written whole: the node never saw it, and what it does is as unknown as before.
+            # No effective step was written whole, so the node never got the request, and the timeout says
+            # nothing about the node: it must not count against it.
             never_ran = outcome is Outcome.TIMEOUT and not attempt.may_have_run
             self._ended(attempt, Reply(Outcome.MOOT if never_ran else outcome))
 
-    def _answer(self, r: Request, result: Result) -> None:
-        if r.answered:
+    def _answer(self, request: Request, result: Result) -> None:
+        if request.answered:
             return
-        r.answered = True
+        request.answered = True
         self.counters.add(f"requests.{result.verdict.value}")
-        self.violations.answered(r, self._now)
+        self.violations.answered(request, self._now)
         if result.verdict is Verdict.FAILED:
-            log.info("request %s failed: %s", r.trace_id or r.id, "; ".join(r.story) or "never sent")
+            log.info(
+                "request %s failed: %s",
+                request.trace_id or request.id,
+                "; ".join(request.attempt_log) or "no attempt has ended",
+            )
         if self.tap is not None:
-            self.tap(facts.Answered(self._now, int(r.id), result.verdict, result.pause_us))
-        r.answer(result)
-        self._forget(r)
+            self.tap(facts.Answered(self._now, int(request.id), result.verdict, result.pause_us))
+        request.answer(result)
+        self._forget(request)
 
-    def _forget(self, r: Request) -> None:
-        if r.answered and not r.out:
-            drop(r.backstop)
-            self.requests.pop(r.id, None)
+    def _forget(self, request: Request) -> None:
+        if request.answered and not request.in_flight:
+            cancel_timer(request.backstop)
+            self.requests.pop(request.id, None)
 
-    # --- what the module wants
+    # --- actions of the decision module
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
-            case Send(request, node, timeout_us, spends):
-                self._send(request, node, timeout_us, spends)
+            case Send(request_id, node, timeout_us, spends):
+                self._send(request_id, node, timeout_us, spends)
             case SetTimer(tag, in_us):
                 self._wheel.add(self._now + in_us, lambda: self._events.append(Timer(tag)))
-            case Refuse(request, pause_us, lacks_limit):
-                if r := self.requests.get(request):
+            case Refuse(request_id, pause_us, lacks_limit):
+                if request := self.requests.get(request_id):
                     if lacks_limit:
                         self.counters.add("requests.refused_for_limit")
-                    self._answer(r, Result(Verdict.REFUSED, pause_us=pause_us))
-            case Fail(request):
-                if r := self.requests.get(request):
-                    self._answer(r, Result(Verdict.FAILED))
-            case Cancel(request, number):
-                if (r := self.requests.get(request)) and (attempt := r.out.get(number)):
+                    self._answer(request, Result(Verdict.REFUSED, pause_us=pause_us))
+            case Fail(request_id):
+                if request := self.requests.get(request_id):
+                    self._answer(request, Result(Verdict.FAILED))
+            case Cancel(request_id, number):
+                if (request := self.requests.get(request_id)) and (attempt := request.in_flight.get(number)):
                     self._give_up(attempt, Outcome.CANCELLED)
             case Disconnect(name):
                 if self.transport:
                     self.transport.close_idle(name)
             case Subscribe():
-                pass  # the list is watched from the start, and what was missed comes with the next answer
+                pass  # discovery is watched from the start; a missed change comes with its next answer
             case FetchList():
                 self.fetch_list()
             case Log(text):
                 log.info("module: %s", text)
             case _:
                 self.counters.add("errors.action")
-                tell(log, ActionError(f"the settings allow no {type(action).__name__}"), level=logging.ERROR)
+                tell(
+                    log,
+                    ActionError(f"the settings do not allow {type(action).__name__}"),
+                    level=logging.ERROR,
+                )
 
-    def _send(self, request: str, name: str, timeout_us: int, spends: bool) -> None:
-        r, node = self.requests.get(request), self.nodes.get(name)
-        if r is None:
-            self._events.append(Answer(request, 0, name, Outcome.MOOT, True))
+    def _send(self, request_id: str, name: str, timeout_us: int, spends: bool) -> None:
+        request, node = self.requests.get(request_id), self.nodes.get(name)
+        if request is None:
+            self._events.append(Answer(request_id, 0, name, Outcome.MOOT, True))
             return
-        if spends and self._shared is not None:
-            r.charge = self._shared.charge(self._now)
-        denial = self.gate.may_start(r, node, self.settings.max_attempts, self._now)
-        number, r.attempts = r.attempts, r.attempts + 1
+        if spends and self._shared_limits is not None:
+            request.charge = self._shared_limits.charge(self._now)
+        denial = self.gate.may_start(request, node, self.settings.max_attempts, self._now)
+        number, request.attempts = request.attempts, request.attempts + 1
         if denial is not None or node is None or self.transport is None:
             self.counters.add("attempts.moot")
             if denial is not None:
                 self.counters.add(f"denied.{denial.value}")
-                r.story.append(f"{name}: not started, {denial.value}")
-            self._events.append(Answer(r.id, number, name, Outcome.MOOT, r.answered))
+                request.attempt_log.append(f"{name}: not started, {denial.value}")
+            self._events.append(Answer(request.id, number, name, Outcome.MOOT, request.answered))
             return
-        deadline = min(r.deadline_us, self._now + timeout_us) if timeout_us else r.deadline_us
-        attempt = r.out[number] = Attempt(r, number, node, self._now, deadline)
+        deadline_us = min(request.deadline_us, self._now + timeout_us) if timeout_us else request.deadline_us
+        attempt = request.in_flight[number] = Attempt(request, number, node, self._now, deadline_us)
         self.counters.add("attempts.started")
         if self.tap is not None:
-            self.tap(facts.Sent(self._now, int(r.id), number, name, timeout_us))
-        attempt.timeout = self._wheel.add(deadline, lambda: self._give_up(attempt, Outcome.TIMEOUT))
+            self.tap(facts.Sent(self._now, int(request.id), number, name, timeout_us))
+        attempt.timeout = self._wheel.add(deadline_us, lambda: self._give_up(attempt, Outcome.TIMEOUT))
         self.transport.start(attempt)
--- a/stackrouter/core/facts.py
+++ b/stackrouter/core/facts.py
@@ -1,7 +1,7 @@
-"""What the engine saw and did, as small immutable records: the one stream that accounts and traces read.
+"""Immutable records of what the engine observed and did: the event stream that accounts and traces read.
 
-Times are microseconds of the gateway's monotonic clock. Requests are the engine's own numbers, not the ids of
-clients; keys and bodies are left out, so that a trace names no player.
+Times are microseconds of the gateway's monotonic clock. Requests carry the engine's own numbers, not the ids
+of clients; keys and bodies are left out, so that a trace identifies no end user.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 
 
 class Taken(NamedTuple):
-    """A request was taken. `deadline_us`: when its client gives up. `shard` -1: any node may have it."""
+    """A request was accepted. `deadline_us`: when its client stops waiting. `shard` -1: any node may serve
+    it."""
 
     at: int
     request: int
@@ -34,7 +35,7 @@
 
 
 class Held(NamedTuple):
-    """The head of its volume's queue at its shard lacks tokens; they suffice after `wait_us` (-1: never)."""
+    """The first request in its volume's queue at its shard waits for tokens: `wait_us` more (-1: forever)."""
 
     at: int
     request: int
@@ -42,7 +43,7 @@
 
 
 class Sent(NamedTuple):
-    """An attempt was started, on a connection that may yet have to be made."""
+    """An attempt was started; its connection may still have to be opened."""
 
     at: int
     request: int
@@ -52,7 +53,7 @@
 
 
 class Written(NamedTuple):
-    """The attempt's last byte was written: from here on the node may work on it."""
+    """The attempt's last byte was written: from now on the node may process it."""
 
     at: int
     request: int
@@ -61,7 +62,7 @@
 
 
 class Ended(NamedTuple):
-    """An attempt's outcome. `used_percent` -1: not told. `report`: the node's figures, as it named them."""
+    """An attempt's outcome. `used_percent` -1: not reported. `report`: the node's metrics, with its names."""
 
     at: int
     request: int
@@ -74,7 +75,7 @@
 
 
 class Answered(NamedTuple):
-    """The one final answer."""
+    """The request's final answer was written; there is exactly one. `pause_us`: the suggested retry delay."""
 
     at: int
     request: int
@@ -83,13 +84,15 @@
 
 
 class GivenUp(NamedTuple):
-    """The client went away before its answer."""
+    """The client disconnected before it was answered."""
 
     at: int
     request: int
 
 
 class Listed(NamedTuple):
+    """A list of nodes came from discovery."""
+
     at: int
     kind: ListKind
     version: int
@@ -101,7 +104,7 @@
 
 
 class Tap:
-    """Hands every fact to every subscriber. One that raises is dropped: the engine must go on."""
+    """Passes every fact to every subscriber. One that raises is removed, so that the engine continues."""
 
     def __init__(self) -> None:
         self.subscribers: list[Subscriber] = []
@@ -111,5 +114,5 @@
             try:
                 subscriber(fact)
             except Exception:
-                defect(log, "a reader of facts failed and is dropped")
+                defect(log, "a subscriber to facts failed and was removed")
                 self.subscribers.remove(subscriber)
--- a/stackrouter/core/model.py
+++ b/stackrouter/core/model.py
@@ -1,4 +1,4 @@
-"""What fronts, core and net hand one another: requests, attempts, replies and results."""
+"""Types that fronts, core and net exchange: requests, attempts, replies and results."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 
 
 class Verdict(Enum):
+    """How a request ended for its client. The values are names of counters (`requests.*`)."""
+
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
@@ -20,17 +22,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """The one final answer to a request. `value` is what the front's node side made of the node's answer."""
+    """The final answer to a request. `value` is the node's answer as parsed by the front's `Exchange`."""
 
     verdict: Verdict
     value: Any = None
     pause_us: int = 0
-    lease: object = None  # of the memory that a large value takes, given back with the last reference
+    lease: object = None  # on the memory of a large value; released when its last reference goes
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """How a node answered an attempt. `exact`: to the letter, so that its connection can carry the next."""
+    """How a node answered an attempt. `exact`: it followed the protocol exactly, so that its connection can
+    be reused."""
 
     outcome: Outcome
     value: Any = None
@@ -39,19 +42,19 @@
     report: Mapping[str, float] = field(default_factory=dict)
     exact: bool = False
     lease: object = None
-    denial: str = ""  # why the gate did not let it be sent
+    denial: str = ""  # why the gate did not allow the send
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Bytes for a node. `effective`: once they are written whole, the request may have run."""
+    """Bytes to write to a node. `effective`: once all of them are written, the request may have run."""
 
     data: bytes
     effective: bool
 
 
 class Inbox(Protocol):
-    """Received bytes that wait to be parsed."""
+    """Buffer of received bytes that are not parsed yet."""
 
     def __len__(self) -> int: ...
 
@@ -61,25 +64,25 @@
 
 
 class Exchange(Protocol):
-    """One attempt's talk with a node, made by a front for each attempt."""
+    """The protocol exchange of one attempt with a node; a front creates one for each attempt."""
 
-    needs: int  # bytes that what comes takes at least, as far as that is known
+    needs: int  # minimum size of the incoming answer in bytes, as far as it is known
 
     def start(self, wait_us: int, fresh: bool) -> Step:
-        """The first bytes; `fresh`: the first on this connection."""
+        """Returns the first bytes to write; `fresh`: nothing was sent on this connection before."""
 
     def received(self, inbox: Inbox) -> Step | Reply | None:
-        """What follows from the bytes so far: more bytes to write, the end, or nothing yet."""
+        """Parses what has arrived: returns more bytes to write, the final reply, or None to wait for more."""
 
 
 def client_stays() -> bool:
-    """Where no connection can be looked at."""
+    """Default for `Request.client_left` where there is no connection to inspect: never left."""
     return False
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A client's request in the core's terms. `deadline_us` is when its client gives up."""
+    """A client's request, independent of its protocol. `deadline_us`: when its client stops waiting."""
 
     request_class: int
     plan: int
@@ -91,38 +94,39 @@
     deadline_us: int
     exchange: Callable[[], Exchange]
     answer: Callable[[Result], None]
-    wire: str  # which of the fronts' node wires carries it: connections are not shared between them
+    wire: str  # the node protocol that carries it; protocols do not share connections
     repeat: bool = False
     write: bool = False
-    port: int = 0  # the node port of that wire; 0: the one discovery gives
-    trace_id: str = ""  # by which the client knows the request
-    client_left: Callable[[], bool] = client_stays  # looks at the client's connection, now
-    # Kept by the engine alone:
-    repeat_us: int | None = (
-        None  # for so long after the first attempt that may have run another may; None: ever
-    )
-    ran_us: int | None = None  # when the first that has ended and may have run was sent
-    drawn: bool = False  # a node has got it: the units of its volume's limit are taken
-    charge: object = None  # what the sharing of limits remembers of the units set aside for it
+    port: int = 0  # the node port of that protocol; 0: the port given by discovery
+    trace_id: str = ""  # the id under which the client knows the request
+    client_left: Callable[[], bool] = client_stays  # whether its connection is closed now
+    # Set by the engine only:
+    # How long after the first attempt that may have run another may be sent; None: without limit.
+    repeat_window_us: int | None = None
+    first_run_us: int | None = None  # when the first attempt that has ended and may have run was sent
+    units_spent: bool = False  # a node has received it, which spends its units of the volume's limit
+    charge: object = None  # the reservation of its units in a limit shared by processes
     id: str = ""
     attempts: int = 0
-    out: dict[int, Attempt] = field(default_factory=dict)
+    in_flight: dict[int, Attempt] = field(default_factory=dict)
     answered: bool = False
-    gone_us: int | None = None  # when its client went away before its answer
+    client_gone_us: int | None = None  # when its client disconnected without waiting for the answer
     backstop: Timer | None = None
-    story: list[str] = field(default_factory=list)  # what was done for it, for the log
+    attempt_log: list[str] = field(default_factory=list)  # its failed attempts, for the log
 
 
 @dataclass(slots=True, eq=False)
 class Node:
+    """A node as discovery last listed it."""
+
     name: str
     address: tuple[str, int]
     shard: int
     state: NodeState
-    unready_since_us: int = 0  # since when it is known to drain or to be gone
+    unready_since_us: int = 0  # when the gateway learned that it is draining or gone
 
-    def told(self, state: NodeState, now_us: int) -> None:
-        """The list says so."""
+    def update_state(self, state: NodeState, now_us: int) -> None:
+        """Takes over the state from discovery's list."""
         if state is not NodeState.READY and self.state is NodeState.READY:
             self.unready_since_us = now_us
         self.state = state
@@ -130,7 +134,8 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """`live` until its outcome is known; `may_have_run` once an effective step was written whole."""
+    """One try of a request at a node. `live`: its outcome is not known yet; `may_have_run`: an effective step
+    was written whole."""
 
     request: Request
     number: int
@@ -148,35 +153,36 @@
 
 
 class SharedLimits(Buckets, Protocol):
-    """Limits that several processes of this gateway share; owned by the engine's loop."""
+    """Limits shared by several processes of this gateway; used by the engine's loop only."""
 
     settings: Settings
 
     def on_claims(self, tell: Callable[[LimitPart, float, int], None]) -> None:
-        """`tell` is told what other processes claim: part, units (below 0: given back), time."""
+        """Registers a callback for claims of other processes: limit part, units (below 0: returned), time."""
 
     def charge(self, now: int) -> object:
-        """For a request whose units have just been spent."""
+        """Returns the reservation of the request whose units have just been reserved in the buckets."""
 
     def may_draw(self, charge: object, now: int) -> bool:
-        """Whether a node may still be given the request."""
+        """Whether a request with this reservation may still be sent to a node."""
 
     def refresh(self, now: int) -> None:
-        """Before a batch of events: see who else serves."""
+        """Called before a batch of events: checks which other processes serve."""
 
     def exchange(self, now: int) -> bool:
-        """After it: claim what is wanted; whether `events` has more to handle now."""
+        """Called after a batch: claims the units that are needed. Returns whether `events` has more to
+        handle."""
 
     def events(self) -> Sequence[Event]:
-        """What has changed for the decision module."""
+        """Changes to report to the decision module."""
 
 
 class Transport(Protocol):
-    """Carries attempts to nodes; each ends by one call of the engine's `ended`, unless given up before."""
+    """Sends attempts to nodes. Each ends with one call of the engine's `ended`, unless given up first."""
 
     def start(self, attempt: Attempt) -> None: ...
 
     def give_up(self, attempt: Attempt) -> None:
-        """End the attempt's connection now, before anything further is sent."""
+        """Closes the attempt's connection at once, before anything more is sent."""
 
     def close_idle(self, node: str) -> None: ...
--- a/stackrouter/log.py
+++ b/stackrouter/log.py
@@ -1,7 +1,7 @@
-"""The log on standard error, bounded: a fault that repeats must not fill what holds it.
+"""The log on standard error, rate limited so that a repeated fault cannot fill the disk.
 
-The platform's start writes plain text by the standard library. Where the operator's file or the command line
-asks for it, structlog writes one JSON object a line, or aligned text.
+By default it is plain text, written with the standard library, as on the platform. If the operator's file or
+the environment asks for it, structlog writes one JSON object per line, or aligned text.
 """
 
 from __future__ import annotations
@@ -11,35 +11,38 @@
 
 from stackrouter.errors import MissingExtraError, VariableError
 
-MOST_LINES = 50  # in each span
-SPAN_S = 10.0
+MAX_LINES = 50  # in each window
+WINDOW_S = 10.0
 
 
-class Bound(logging.Filter):
+class RateLimitFilter(logging.Filter):
+    """Drops lines over MAX_LINES in WINDOW_S; the next line that passes states how many were dropped."""
+
     def __init__(self) -> None:
         super().__init__()
-        self._since, self._lines = 0.0, 0
+        self._window_start, self._lines = 0.0, 0
         self.dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         now = time.monotonic()
-        if now - self._since > SPAN_S:
-            self._since, self._lines = now, 0
+        if now - self._window_start > WINDOW_S:
+            self._window_start, self._lines = now, 0
         self._lines += 1
-        if self._lines > MOST_LINES:
+        if self._lines > MAX_LINES:
             self.dropped += 1
             return False
         if self.dropped:
             record.left_out = self.dropped
-            record.msg, record.args = f"({self.dropped} lines left out) {record.getMessage()}", ()
+            record.msg, record.args = f"({self.dropped} lines dropped) {record.getMessage()}", ()
             self.dropped = 0
         return True
 
 
 def start(form: str = "plain", gateway: str = "") -> None:
-    """`form`: plain (standard library), text or json (by structlog). A ConfigError: not to be had."""
+    """Configures the log. `form`: plain (standard library), text or json (structlog). Raises ConfigError if
+    the form is unknown or its library is missing."""
     handler = logging.StreamHandler()
-    handler.addFilter(Bound())
+    handler.addFilter(RateLimitFilter())
     if form == "plain":
         handler.setFormatter(logging.Formatter("%(asctime)s %(levelname)s %(name)s: %(message)s"))
     elif form not in ("text", "json"):
@@ -48,7 +51,7 @@
         try:
             from stackrouter.logfmt import formatter
         except ImportError as error:
-            what = f"log lines as {form} need {error.name}: install stackrouter[edge]"
+            what = f"log format {form} needs {error.name}: install stackrouter[edge]"
             raise MissingExtraError(what) from None
 
         handler.setFormatter(formatter(form, gateway))
--- a/stackrouter/logfmt.py
+++ b/stackrouter/logfmt.py
@@ -1,4 +1,4 @@
-"""Log lines by structlog: records of the standard library in, one JSON object or aligned line each out."""
+"""Log format with structlog: turns each record of the standard library into one JSON object or line."""
 
 from __future__ import annotations
 
@@ -26,25 +26,29 @@
     "at_line",
     "at_key",
     "at_address",
-)  # what a record may carry beside its text
+)  # extra fields of a record that are written out
 
 
 def formatter(form: str, gateway: str) -> logging.Formatter:
-    def name_it(_logger: Any, _method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+    """`form`: json or text; `gateway`: the name that is added to each line."""
+
+    def add_gateway(_logger: Any, _method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
         event["gateway"] = gateway
         return event
 
-    before: list[Any] = [
+    pre_chain: list[Any] = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.stdlib.ExtraAdder(FIELDS),
-        name_it,
+        add_gateway,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
     ]
-    last: list[Any] = [structlog.stdlib.ProcessorFormatter.remove_processors_meta]
+    processors: list[Any] = [structlog.stdlib.ProcessorFormatter.remove_processors_meta]
     if form == "json":
-        last += [structlog.processors.dict_tracebacks, structlog.processors.JSONRenderer()]
+        processors += [structlog.processors.dict_tracebacks, structlog.processors.JSONRenderer()]
     else:
         plain = structlog.dev.plain_traceback
-        last.append(structlog.dev.ConsoleRenderer(colors=False, pad_event_to=40, exception_formatter=plain))
-    return structlog.stdlib.ProcessorFormatter(foreign_pre_chain=before, processors=last)
+        processors.append(
+            structlog.dev.ConsoleRenderer(colors=False, pad_event_to=40, exception_formatter=plain)
+        )
+    return structlog.stdlib.ProcessorFormatter(foreign_pre_chain=pre_chain, processors=processors)
--- a/stackrouter/ops/__init__.py
+++ b/stackrouter/ops/__init__.py
@@ -1,1 +1,1 @@
-"""What operators ask of a running gateway, decided without I/O: times are arguments, in seconds."""
+"""Decisions on operators' calls to a running gateway, without I/O: times are arguments, in seconds."""
--- a/stackrouter/ops/door.py
+++ b/stackrouter/ops/door.py
@@ -1,10 +1,11 @@
-"""Who gives way at the operators' door when more call than are heard at once.
-
-From the operators' page: every answer is due within 1 s whatever the load, and some callers send nothing or
-half a call and stay for 4 s. A caller whose line has come is answered at once and holds no place, so only
-those still to say something fill the door. Once it is full, the one that has been silent longest gives way,
-but not before it had `patience_s`; until then the next caller waits to be let in. Of a crowd of N silent
-callers the last is heard after N / most * patience_s at the latest. Times are monotonic seconds.
+"""Admission to the admin port when more callers connect than are served at once.
+
+The operator documentation requires every answer within 1 s whatever the load, and expects callers that send
+nothing or half a call and stay for 4 s. A caller whose line has arrived is answered at once and no longer
+counts, so only callers whose line is incomplete take up places. Once all places are taken, the caller that
+has waited longest is evicted, but not before it has had `patience_s`; until then the next caller waits to be
+accepted. The last of N silent callers is accepted after N / max_callers * patience_s at the latest. Times are
+monotonic seconds.
 """
 
 from __future__ import annotations
@@ -17,30 +18,32 @@
 
 @dataclass(slots=True)
 class Crowd(Generic[T]):
-    """`most`: callers that are listened to at once; `patience_s`: what each has while others wait."""
+    """Callers whose line is incomplete. `max_callers`: how many are served at once; `patience_s`: the minimum
+    time that each has while others wait."""
 
-    most: int
+    max_callers: int
     patience_s: float
-    _since: dict[T, float] = field(default_factory=dict)  # the longest silent first
+    _entered_at: dict[T, float] = field(default_factory=dict)  # when each entered, in that order
 
     def __len__(self) -> int:
-        return len(self._since)
+        return len(self._entered_at)
 
     def enter(self, caller: T, now: float) -> None:
-        self._since[caller] = now
+        """Adds an accepted caller."""
+        self._entered_at[caller] = now
 
     def leave(self, caller: T) -> None:
-        """Its line is whole, or it is gone; a second leave does nothing."""
-        self._since.pop(caller, None)
+        """Removes a caller whose line is complete or that has disconnected; a second call does nothing."""
+        self._entered_at.pop(caller, None)
 
     def wait_s(self, now: float) -> float:
-        """How long the next caller has to wait to be let in; 0: there is room, or one may be made to go."""
-        if len(self._since) < self.most:
+        """How long the next caller has to wait to be accepted; 0: a place is free, or can be freed now."""
+        if len(self._entered_at) < self.max_callers:
             return 0.0
-        return max(0.0, min(self._since.values()) + self.patience_s - now)
+        return max(0.0, min(self._entered_at.values()) + self.patience_s - now)
 
     def gives_way(self, now: float) -> T | None:
-        """Who has to go for the next caller, None if nobody need or may yet."""
-        if len(self._since) < self.most or self.wait_s(now) > 0.0:
+        """The caller to evict for the next one; None if none needs to be or may be evicted yet."""
+        if len(self._entered_at) < self.max_callers or self.wait_s(now) > 0.0:
             return None
-        return next(iter(self._since))
+        return next(iter(self._entered_at))
--- a/stackrouter/ops/drain.py
+++ b/stackrouter/ops/drain.py
@@ -1,54 +1,57 @@
-"""Drain by PING: the state behind `standby` and `active` on the operators' door, and which client
-connections close while it lasts.
+"""Drain by PING: the state behind the admin calls `standby` and `active`, and which client connections are
+closed while it lasts.
 
-From the operators' page: the front asks PING every 0.1 s; from its first no it sends new connections for
-0.2 s more; at 4 s a yes, an idle connection or one that asked in the last 2 s breaks the rule on lost
-requests; within 2 s of `active` PING must say yes. Times are monotonic seconds given by the caller.
+The operator documentation says: the front sends PING every 0.1 s; after the first negative answer it opens
+new connections for another 0.2 s; 4 s after `standby`, a positive answer, an idle connection or one that sent
+a request in the last 2 s violates the rule on lost requests; within 2 s of `active` PING must be positive
+again. Times are monotonic seconds given by the caller.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-YOUNG_S = 0.1  # a connection that has not asked yet is about to: closing it loses its first request
+# A new connection is about to send its first request: closing it would lose that request.
+NEW_CONNECTION_GRACE_S = 0.1
 
 
 @dataclass(slots=True)
 class Drain:
-    """`since`: when the running drain began, None while serving."""
+    """The drain state of a gateway. `since`: when the current drain began; None while serving."""
 
     since: float | None = None
 
     @property
     def serving(self) -> bool:
-        """What PING answers: yes unless a drain is on."""
+        """Whether PING is answered positively: true unless a drain is in progress."""
         return self.since is None
 
     def standby(self, now: float) -> bool:
-        """Begin draining; a second standby keeps the first one's time. Returns whether this one began it."""
+        """Begins a drain; a repeated call keeps the time of the first. Returns whether this call began it."""
         if self.since is not None:
             return False
         self.since = now
         return True
 
     def active(self) -> bool:
-        """End the drain; returns whether one was on."""
-        was, self.since = self.since is not None, None
-        return was
+        """Ends the drain; returns whether one was in progress."""
+        was_draining, self.since = self.since is not None, None
+        return was_draining
 
     def closes(self, now: float, *, owed: bool, readable: bool, asked: bool, active_at: float) -> bool:
-        """Whether a client connection is closed now.
+        """Whether a client connection is to be closed now.
 
-        `owed`: an answer has not left yet; `readable`: bytes wait in the socket or the inbox; `asked`: the
-        connection has carried a request; `active_at`: its last read or write. Nothing owed or on its way is
-        ever cut; a new connection is given `YOUNG_S` for its first request.
+        `owed`: an answer is not yet written whole; `readable`: bytes wait in the socket or the inbox;
+        `asked`: the connection has carried a request; `active_at`: the time of its last read or write. A
+        connection with an owed answer or unread bytes is never closed; a new connection has
+        NEW_CONNECTION_GRACE_S for its first request.
         """
         if self.since is None or owed or readable:
             return False
-        return asked or now - max(active_at, self.since) > YOUNG_S
+        return asked or now - max(active_at, self.since) > NEW_CONNECTION_GRACE_S
 
     def status(self, now: float) -> str:
-        """The door's words for the state."""
+        """The state as the admin call `status` reports it."""
         if self.since is None:
             return "serving"
         return f"draining for {now - self.since:.1f} s"
--- a/stackrouter/ops/retune.py
+++ b/stackrouter/ops/retune.py
@@ -1,11 +1,12 @@
-"""New settings at SIGHUP, decided without I/O: whether a file may be taken, and how its classes join
-those already open.
+"""New settings at SIGHUP, without I/O: whether a file is accepted, and how its classes are merged with those
+of open requests.
 
-From the operators' page: classes are added and dropped, a class of the same name may have another effect,
-attempts may become fewer; clients use a new class 1.2 s after the signal, and open requests keep their old
-rules. A broken file (empty, cut off, a key missing, a deadline or attempts not over 0) leaves the old
-settings whole. Classes are therefore kept in one table that only grows: an open request's index always
-names the rules it came in under, and a name is bound to its new index `BIND_S` after the signal.
+The operator documentation says: classes are added and removed, a class of the same name may get another
+effect, the number of attempts may be reduced; clients use a new class 1.2 s after the signal, and open
+requests keep their old rules. An invalid file (empty, truncated, a key missing, a deadline or attempts not
+over 0) leaves the old settings unchanged. Classes are therefore kept in one table that only grows: the index
+of an open request always refers to the rules under which it was taken, and a name is bound to its new index
+`BIND_DELAY_S` after the signal.
 """
 
 from __future__ import annotations
@@ -17,12 +18,13 @@
 from rackseam.interface import RequestClass, Settings
 from stackrouter.errors import ManyClassesError, RetuneKeyError, RetuneValueError
 
-BIND_S = 1.2  # from the signal until clients send the new classes
-MOST_CLASSES = 256  # the table of classes grows by what files add; past this a file is refused
+BIND_DELAY_S = 1.2  # from the signal until clients send the new classes
+MAX_CLASSES = 256  # the table grows with the classes that files add; beyond this a file is rejected
 
 
 def check(raw: Any, text: str) -> None:
-    """What the start tolerates but a change of settings may not: raises a RetuneError naming key and line."""
+    """Checks a changed file more strictly than the start does. Raises a RetuneError with the key and its
+    line."""
     if not isinstance(raw, dict) or not isinstance(raw.get("settings"), dict):
         raise RetuneKeyError("key is missing or not an object", line=_line(text, "settings"), key="settings")
     settings = raw["settings"]
@@ -42,28 +44,28 @@
 
 def merge(table: tuple[RequestClass, ...], new: Settings, names: Mapping[str, int], old: Mapping[str, int],
           writes_stated: bool) -> tuple[Settings, dict[str, int], set[int]]:  # fmt: skip
-    """The new settings over the grown table of classes, each new name's index in it, and the indices whose
-    write flag nobody stated.
+    """Merges the classes of new settings into the table of classes. Returns the new settings with the
+    extended table, the index in it of each new name, and the indices of classes whose write flag is unknown.
 
-    `names`: the new file's names by their index in `new.classes`; `old`: the names in force, by index in
-    `table`. `writes_stated`: FamilyInfo.ClassWrites has one flag for each class. Where it has not (a file
-    whose classes changed while the flags stayed, as seen on the operators' days), a class keeps the flag of
-    the old class of its name, and one with a new name is unknown: the front then takes either command for
-    it. A class equal to one in the table takes that index; another is added at the end. ManyClassesError:
-    past MOST_CLASSES.
+    `names`: the new file's names with their index in `new.classes`; `old`: the current names with their index
+    in `table`. `writes_stated`: FamilyInfo.ClassWrites has one flag for each class. If it has not (a file
+    whose classes changed while the flags stayed, as seen in operation), a class keeps the flag of the old
+    class of the same name, and the flag of a class with a new name is unknown: the front then accepts either
+    command for it. A class equal to one in the table gets that index; any other is appended. Raises
+    ManyClassesError if the table exceeds MAX_CLASSES.
     """
     classes, bound, unknown = list(table), {}, set()
     for name, index in names.items():
-        cls = new.classes[index]
+        request_class = new.classes[index]
         if not writes_stated:
-            cls = replace(cls, writes=table[old[name]].writes if name in old else False)
-        if cls not in classes:
-            classes.append(cls)
-        bound[name] = classes.index(cls)
+            request_class = replace(request_class, writes=table[old[name]].writes if name in old else False)
+        if request_class not in classes:
+            classes.append(request_class)
+        bound[name] = classes.index(request_class)
         if not writes_stated and name not in old:
             unknown.add(bound[name])
-    if len(classes) > MOST_CLASSES:
-        raise ManyClassesError(f"more than {MOST_CLASSES} classes over the changes since the start")
+    if len(classes) > MAX_CLASSES:
+        raise ManyClassesError(f"the changes since the start define more than {MAX_CLASSES} classes")
     return replace(new, classes=tuple(classes)), bound, unknown
 
 
@@ -73,7 +75,7 @@
 
 
 def _line(text: str, key: str, nth: int = 0) -> int:
-    """The line of the key's nth mention in the file, 1 first; where it is missing, the file's last."""
+    """The line number (from 1) of the key's occurrence with index `nth`; the last line if it is missing."""
     at = -1
     for _ in range(nth + 1):
         at = text.find(f'"{key}"', at + 1)
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""The drain's decisions, without sockets: what PING says and which client connection may close when."""
+"""The drain state, without sockets: the answer to PING, and which client connections may be closed when."""
 
 from __future__ import annotations
 
@@ -7,35 +7,38 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stackrouter.ops.drain import YOUNG_S, Drain
+from stackrouter.ops.drain import NEW_CONNECTION_GRACE_S, Drain
 
 times = st.floats(min_value=0.0, max_value=1e6, allow_nan=False)
 
 
 class DrainTest(unittest.TestCase):
-    def test_ping_says_no_from_standby_to_active(self) -> None:
+    def test_ping_is_negative_from_standby_to_active(self) -> None:
         drain = Drain()
         self.assertTrue(drain.serving)
         self.assertTrue(drain.standby(10.0))
-        self.assertFalse(drain.standby(11.0))  # a second call keeps the first one's time
+        self.assertFalse(drain.standby(11.0))  # a repeated call keeps the time of the first
         self.assertEqual((drain.serving, drain.since), (False, 10.0))
         self.assertTrue(drain.active())
         self.assertFalse(drain.active())
         self.assertTrue(drain.serving)
 
-    def test_a_new_connection_is_given_time_for_its_first_request(self) -> None:
+    def test_a_new_connection_has_time_for_its_first_request(self) -> None:
         drain = Drain()
         drain.standby(10.0)
         self.assertFalse(drain.closes(10.1, owed=False, readable=False, asked=False, active_at=10.05))
         self.assertTrue(
-            drain.closes(10.06 + YOUNG_S, owed=False, readable=False, asked=False, active_at=10.05)
+            drain.closes(
+                10.06 + NEW_CONNECTION_GRACE_S, owed=False, readable=False, asked=False, active_at=10.05
+            )
         )
-        # One that was idle long before the standby still gets its time from the standby on.
+        # One that was idle long before the standby has the same time, counted from the standby.
         self.assertFalse(drain.closes(10.01, owed=False, readable=False, asked=False, active_at=1.0))
 
     @given(times, times, st.booleans(), st.booleans(), st.booleans(), times)
-    def test_nothing_owed_or_on_its_way_is_cut(self, since: float, now: float, owed: bool, readable: bool,
-                                               asked: bool, active_at: float) -> None:  # fmt: skip
+    def test_no_connection_with_an_owed_answer_or_unread_bytes_is_closed(
+        self, since: float, now: float, owed: bool, readable: bool, asked: bool, active_at: float
+    ) -> None:
         drain = Drain()
         self.assertFalse(drain.closes(now, owed=owed, readable=readable, asked=asked, active_at=active_at))
         drain.standby(since)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate: what it denies, that nothing goes past it, and that what went wrong all the same is counted."""
+"""The send gate: what it denies, that no module bypasses it, and that violations are counted all the same."""
 
 from __future__ import annotations
 
@@ -24,124 +24,131 @@
 
 ROOT = Path(__file__).parent.parent / "stackrouter"
 MS, S = 1_000, 1_000_000
-HERE = ("127.0.0.1", 1)
-# Who may hold a socket, and why. All else reaches one through these.
+ADDRESS = ("127.0.0.1", 1)
+# Modules that may use sockets, with the reason. All others do I/O through these.
 SOCKETS = {
     "net/node_socket.py": "attempts at nodes, behind the gate",
     "net/client_socket.py": "clients, behind the gate",
     "net/list_call.py": "calls to discovery",
     "net/admin.py": "the operators' door",
     "net/door.py": "listening sockets",
-    "net/listener.py": "accepts, and hands what it accepted to a ClientSocket",
+    "net/listener.py": "accepts, and passes accepted sockets to a ClientSocket",
     "net/ring.py": "reads and writes for the modules above",
 }
 WRITES = {"net/node_socket.py", "net/client_socket.py", "net/list_call.py", "net/admin.py", "net/ring.py"}
 
 
-def strays(name: str, tree: ast.AST) -> Iterator[str]:
-    """Ways past the gate in one module: a socket where none belongs, a write, another object's socket."""
+def bypasses(name: str, tree: ast.AST) -> Iterator[str]:
+    """Code of a module that bypasses the gate: an import of sockets outside SOCKETS, a write outside WRITES,
+    or the use of another object's socket."""
     for node in ast.walk(tree):
         line = getattr(node, "lineno", 0)
         match node:
             case ast.ImportFrom(module="gevent", names=names) if any(n.name == "socket" for n in names):
-                what = "" if name in SOCKETS else "imports a socket"
+                finding = "" if name in SOCKETS else "imports a socket"
             case ast.ImportFrom(module="socket" | "gevent.socket"):
-                what = "" if name in SOCKETS else "imports a socket"
+                finding = "" if name in SOCKETS else "imports a socket"
             case ast.Import(names=names) if any(n.name.split(".")[0] == "socket" for n in names):
-                what = "" if name in SOCKETS else "imports a socket"
+                finding = "" if name in SOCKETS else "imports a socket"
             case ast.Call(func=ast.Attribute(attr="send" | "sendall" | "sendmsg" | "sendto")):
-                # Without a socket it is a generator's.
-                what = "" if name in WRITES or name.startswith("fronts/") else "writes"
+                # In the fronts, which have no socket, `send` is a method of a generator.
+                finding = "" if name in WRITES or name.startswith("fronts/") else "writes"
             case ast.Attribute(attr="_sock", value=ast.Name(id="self")):
-                what = ""
+                finding = ""
             case ast.Attribute(attr="_sock"):
-                what = "takes another object's socket"
+                finding = "takes another object's socket"
             case _:
-                what = ""
-        if what:
-            yield f"{name}:{line}: {what}"
+                finding = ""
+        if finding:
+            yield f"{name}:{line}: {finding}"
 
 
-def platform_modules() -> Iterator[tuple[str, ast.AST]]:
+def checked_modules() -> Iterator[tuple[str, ast.AST]]:
     for part in ("core", "net", "fronts", "membership"):
         for path in sorted((ROOT / part).rglob("*.py")):
             yield str(path.relative_to(ROOT)), ast.parse(path.read_text(encoding="utf-8"))
     yield "__main__.py", ast.parse((ROOT / "__main__.py").read_text(encoding="utf-8"))
 
 
-class NoOtherWay(unittest.TestCase):
-    def test_no_module_writes_to_a_socket_past_the_gate(self) -> None:
-        self.assertEqual([stray for name, tree in platform_modules() for stray in strays(name, tree)], [])
+class GateIsNotBypassed(unittest.TestCase):
+    def test_no_module_bypasses_the_gate(self) -> None:
+        self.assertEqual([bypass for name, tree in checked_modules() for bypass in bypasses(name, tree)], [])
 
-    def test_the_search_finds_what_goes_past(self) -> None:
+    def test_the_search_finds_each_kind_of_bypass(self) -> None:
         text = "from gevent import socket\nimport socket\nx.sendall(b'')\nconnection._sock.close()"
-        self.assertEqual(len(list(strays("net/pool.py", ast.parse(text)))), 4)
+        self.assertEqual(len(list(bypasses("net/pool.py", ast.parse(text)))), 4)
 
-    def test_the_pool_writes_and_the_listener_ends_by_the_gate(self) -> None:
-        for name, call in (("net/node_socket.py", "may_write"), ("net/listener.py", "may_close")):
-            self.assertIn(f".{call}(", (ROOT / name).read_text(encoding="utf-8"))
+    def test_node_socket_and_listener_ask_the_gate(self) -> None:
+        for name, method in (("net/node_socket.py", "may_write"), ("net/listener.py", "may_close")):
+            self.assertIn(f".{method}(", (ROOT / name).read_text(encoding="utf-8"))
 
 
-def request(deadline_us: int = 10 * S, repeat_us: int | None = None) -> Request:
+def make_request(deadline_us: int = 10 * S, repeat_window_us: int | None = None) -> Request:
     command = Command(b"BLK.READ", b"0" * 16, b"r", (("d", "1"),), ())
     return Request(0, 0, "v", 1.0, 0, 1, "k", deadline_us, command.exchange, lambda _: None, "platform",
-                   trace_id="abc", repeat_us=repeat_us)  # fmt: skip
+                   trace_id="abc", repeat_window_us=repeat_window_us)  # fmt: skip
 
 
-def attempt(asked: Request, state: NodeState = NodeState.READY, sent_us: int = 0) -> Attempt:
-    made = Attempt(asked, asked.attempts, Node("n", HERE, 0, state), sent_us, asked.deadline_us)
-    asked.out[asked.attempts] = made
-    asked.attempts += 1
+def make_attempt(request: Request, state: NodeState = NodeState.READY, sent_us: int = 0) -> Attempt:
+    made = Attempt(request, request.attempts, Node("n", ADDRESS, 0, state), sent_us, request.deadline_us)
+    request.in_flight[request.attempts] = made
+    request.attempts += 1
     return made
 
 
 class Decisions(unittest.TestCase):
+    """The rules of the gate, without sockets."""
+
     gate = Gate()
 
-    def denial(self, tried: Attempt, now: int = S, begun: bool = False) -> Denial | None:
-        return self.gate.may_write(tried, HERE, begun, False, now)
+    def denial(self, attempt: Attempt, now: int = S, begun: bool = False) -> Denial | None:
+        return self.gate.may_write(attempt, ADDRESS, begun, False, now)
 
-    def test_a_first_byte(self) -> None:
-        self.assertIsNone(self.denial(attempt(request())))
+    def test_first_byte_is_denied_for_each_reason(self) -> None:
+        self.assertIsNone(self.denial(make_attempt(make_request())))
         for state in (NodeState.DRAINING, NodeState.GONE):
-            self.assertIs(self.denial(attempt(request(), state)), Denial.NODE_NOT_READY)
-        self.assertIs(self.denial(attempt(request()), now=10 * S), Denial.DEADLINE_PASSED)
-        gone = attempt(request())
+            self.assertIs(self.denial(make_attempt(make_request(), state)), Denial.NODE_NOT_READY)
+        self.assertIs(self.denial(make_attempt(make_request()), now=10 * S), Denial.DEADLINE_PASSED)
+        gone = make_attempt(make_request())
         gone.request.answered = True
         self.assertIs(self.denial(gone), Denial.CLIENT_GONE)
-        self.assertIs(self.gate.may_write(attempt(request()), HERE, False, True, S), Denial.CLIENT_GONE)
-        self.assertIs(self.gate.may_write(attempt(request()), HERE, True, True, S), Denial.CLIENT_GONE)
-        over = attempt(request())
+        self.assertIs(
+            self.gate.may_write(make_attempt(make_request()), ADDRESS, False, True, S), Denial.CLIENT_GONE
+        )
+        self.assertIs(
+            self.gate.may_write(make_attempt(make_request()), ADDRESS, True, True, S), Denial.CLIENT_GONE
+        )
+        over = make_attempt(make_request())
         over.live = False
         self.assertIs(self.denial(over), Denial.ATTEMPT_OVER)
-        moved = attempt(request())
+        moved = make_attempt(make_request())
         moved.node.address = ("127.0.0.1", 2)
         self.assertIs(self.denial(moved), Denial.NODE_MOVED)
 
-    def test_a_later_byte_goes_on_at_a_node_that_drains_but_not_for_a_client_that_has_gone(self) -> None:
-        tried = attempt(request())
-        tried.node.told(NodeState.DRAINING, S)
-        self.assertIsNone(self.denial(tried, begun=True))
-        tried.request.answered = True
-        self.assertIs(self.denial(tried, begun=True), Denial.CLIENT_GONE)
+    def test_later_bytes_are_allowed_to_a_draining_node_but_not_for_a_disconnected_client(self) -> None:
+        attempt = make_attempt(make_request())
+        attempt.node.update_state(NodeState.DRAINING, S)
+        self.assertIsNone(self.denial(attempt, begun=True))
+        attempt.request.answered = True
+        self.assertIs(self.denial(attempt, begun=True), Denial.CLIENT_GONE)
 
     @given(st.integers(0, 5 * S), st.integers(0, 5 * S), st.booleans())
-    def test_a_repeat_goes_within_the_window_of_the_first_that_may_have_run(
+    def test_a_repeat_is_allowed_only_within_the_window_after_the_first_attempt_that_may_have_run(
         self, window: int, now: int, ended: bool
     ) -> None:
-        asked = request(repeat_us=window)
-        first = attempt(asked)
-        self.assertIsNone(self.gate.may_repeat(asked, now), "nothing has run")
+        request = make_request(repeat_window_us=window)
+        first = make_attempt(request)
+        self.assertIsNone(self.gate.may_repeat(request, now), "nothing has run")
         if ended:
-            asked.ran_us = first.sent_us
-            del asked.out[0]
+            request.first_run_us = first.sent_us
+            del request.in_flight[0]
         else:
             first.may_have_run = True
-        self.assertEqual(self.gate.may_repeat(asked, now) is None, now < window)
-        self.assertEqual(self.denial(attempt(asked), now) is None, now < window)
+        self.assertEqual(self.gate.may_repeat(request, now) is None, now < window)
+        self.assertEqual(self.denial(make_attempt(request), now) is None, now < window)
 
     @given(st.integers(0, 5 * S), st.integers(0, 10 * S), st.integers(0, 10 * S))
-    def test_what_is_taken_after_the_stop_is_answered_before_the_kill(
+    def test_requests_taken_after_the_stop_are_due_before_the_kill(
         self, stop: int, longest: int, left: int
     ) -> None:
         gate = Gate()
@@ -152,13 +159,13 @@
         self.assertIs(gate.may_take(kill + S, kill - 150 * MS), Denial.STOPPING)
 
     @given(st.integers(-S, 20 * S))
-    def test_a_node_is_told_no_more_than_is_left(self, now: int) -> None:
-        asked = request()
-        tried = attempt(asked)
-        told = self.gate.wait_told_us(replace(tried, deadline_us=tried.deadline_us + S), now)
-        self.assertLessEqual(told, max(0, asked.deadline_us - now))
+    def test_the_wait_stated_to_a_node_never_exceeds_the_time_left(self, now: int) -> None:
+        request = make_request()
+        attempt = make_attempt(request)
+        told = self.gate.wait_told_us(replace(attempt, deadline_us=attempt.deadline_us + S), now)
+        self.assertLessEqual(told, max(0, request.deadline_us - now))
 
-    def test_a_client_is_closed_over_nothing_owed_or_unread(self) -> None:
+    def test_a_client_with_an_owed_answer_or_unread_bytes_is_not_closed(self) -> None:
         for owed in (False, True):
             for unread in (False, True):
                 for young in (False, True):
@@ -168,7 +175,7 @@
 
 
 class Violations(unittest.TestCase):
-    """Each rule is broken on purpose, and seen to be counted and logged with the request's id."""
+    """Breaks each rule on purpose: the violation must be counted, and logged with the request's id."""
 
     def setUp(self) -> None:
         self.counters = Counters()
@@ -177,71 +184,71 @@
     def counted(self, rule: str) -> int:
         return self.counters[f"violations.{rule}"]
 
-    def test_a_first_byte_past_the_grace(self) -> None:
-        tried = attempt(request())
-        tried.node.told(NodeState.DRAINING, S)
-        self.found.first_byte(tried, S + 300 * MS)
+    def test_a_first_byte_after_the_drain_grace(self) -> None:
+        attempt = make_attempt(make_request())
+        attempt.node.update_state(NodeState.DRAINING, S)
+        self.found.first_byte(attempt, S + 300 * MS)
         self.assertEqual(self.counted("drain"), 0)
         with self.assertLogs("stackrouter.core.violations") as logs:
-            self.found.first_byte(tried, S + 301 * MS)
+            self.found.first_byte(attempt, S + 301 * MS)
         self.assertEqual(self.counted("drain"), 1)
         self.assertIn("SR-RULE-BROKEN", logs.output[0])
         self.assertIn("request abc: n DRAINING, known for 301 ms", logs.output[0])
 
-    def test_a_request_that_is_begun_for_a_client_that_has_gone(self) -> None:
-        asked = request()
-        tried = attempt(asked)
-        asked.gone_us = S
-        self.found.written(tried, 0, S + 100 * MS)
+    def test_a_request_started_for_a_disconnected_client(self) -> None:
+        request = make_request()
+        attempt = make_attempt(request)
+        request.client_gone_us = S
+        self.found.written(attempt, 0, S + 100 * MS)
         self.assertEqual(self.counted("lost"), 0)
-        self.found.written(tried, 0, S + 101 * MS)
+        self.found.written(attempt, 0, S + 101 * MS)
         self.assertEqual(self.counted("lost"), 1)
 
-    def test_a_node_that_is_told_more_than_is_left(self) -> None:
-        tried = attempt(request())
-        self.found.written(tried, S + 150 * MS, 9 * S)
+    def test_a_stated_wait_longer_than_the_time_left(self) -> None:
+        attempt = make_attempt(make_request())
+        self.found.written(attempt, S + 150 * MS, 9 * S)
         self.assertEqual(self.counted("deadline"), 0)
-        self.found.written(tried, S + 151 * MS, 9 * S)
+        self.found.written(attempt, S + 151 * MS, 9 * S)
         self.assertEqual(self.counted("deadline"), 1)
 
-    def test_a_repeat_past_the_window(self) -> None:
-        asked = request(repeat_us=S)
-        asked.ran_us = 0
-        tried = attempt(asked)
-        self.found.written(tried, 0, S + 50 * MS)
+    def test_a_repeat_after_the_window(self) -> None:
+        request = make_request(repeat_window_us=S)
+        request.first_run_us = 0
+        attempt = make_attempt(request)
+        self.found.written(attempt, 0, S + 50 * MS)
         self.assertEqual(self.counted("duplicate"), 0)
-        self.found.written(tried, 0, S + 51 * MS)
+        self.found.written(attempt, 0, S + 51 * MS)
         self.assertEqual(self.counted("duplicate"), 1)
 
-    def test_an_answer_past_its_time(self) -> None:
-        self.found.answered(request(), 10 * S + 500 * MS)
+    def test_an_answer_after_its_deadline(self) -> None:
+        self.found.answered(make_request(), 10 * S + 500 * MS)
         self.assertEqual(self.counted("lost"), 0)
-        self.found.answered(request(), 10 * S + 501 * MS)
+        self.found.answered(make_request(), 10 * S + 501 * MS)
         self.assertEqual(self.counted("lost"), 1)
 
 
-class Planted(Nodes):
-    """With a gate that denies nothing, the program breaks rules: the check after the fact counts them."""
+class GateDisabled(Nodes):
+    """With a gate that allows everything the gateway breaks rules, and ViolationLog must count them."""
 
-    def blind(self) -> None:
+    def disable_gate(self) -> None:
         self.enterContext(mock.patch.object(Gate, "may_write", lambda *_: None))
         self.enterContext(mock.patch.object(Gate, "may_open", lambda *_: None))
 
-    def test_a_drain_and_a_client_that_has_gone_are_counted_without_the_gate(self) -> None:
+    def test_a_send_to_a_draining_node_is_counted(self) -> None:
         engine = self.start()
         engine.violations = self.pool.violations = ViolationLog(engine.counters, -50 * MS)
         with mock.patch.object(Gate, "may_repeat", lambda *_: None):
-            self.blind()
+            self.disable_gate()
             self.held_at_gate(engine, SAFE)
             self.told(engine, "n", NodeState.DRAINING)
             gevent.sleep(0.01)
             self.let_go(engine)
             wait_until(lambda: engine.counters["violations.drain"] == 1, "counted")
 
-    def test_a_key_that_may_be_forgotten_is_counted_without_the_gate(self) -> None:
+    def test_a_repeat_after_its_key_expired_is_counted(self) -> None:
         engine = self.start()
         self.pool.violations = engine.violations
-        self.blind()
+        self.disable_gate()
         self.replies = [b"", SERVED]
         self.at_gate.clear()
         _, results = self.ask(engine, KEYED)
@@ -255,7 +262,7 @@
         self.assertEqual(engine.counters["violations.duplicate"], 1)
 
 
-del Nodes  # its own tests run in their own module
+del Nodes  # keeps pytest from running its tests a second time in this module
 
 if __name__ == "__main__":
     unittest.main()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,5 @@
-"""The parts that need no wire: ring, wheel, keys of writes, and a configuration that is no good."""
+"""Components that need no client protocol: ring buffer, timer wheel, keys of writes, connection reuse,
+bounded memory, and invalid configurations."""
 
 from __future__ import annotations
 
@@ -26,18 +27,18 @@
 from stackrouter.net.pool import Pool, Reuse
 from stackrouter.net.ring import Ring
 
-asked, go = Event(), Event()
+request_received, may_answer = Event(), Event()
 
 
 def answer_all(sock: gevent_socket, _: object) -> None:
     while sock.recv(4096):
-        asked.set()
-        go.wait()
+        request_received.set()
+        may_answer.wait()
         sock.sendall(b"*3\r\n$1\r\n1\r\n$-1\r\n$-1\r\n")
 
 
-class Parts(unittest.TestCase):
-    def test_a_ring_keeps_the_order_round_its_end_and_its_bound(self) -> None:
+class Components(unittest.TestCase):
+    def test_ring_keeps_order_across_wraparound_and_respects_its_bound(self) -> None:
         ring, expected = Ring(10_000), b""
         for i in range(200):
             data = bytes([i]) * 777
@@ -48,7 +49,7 @@
             expected = expected[500:]
         self.assertEqual(ring.put(b"x" * 20_000), ring.bound - len(expected))
 
-    def test_a_ring_receives_and_sends_across_its_end(self) -> None:
+    def test_ring_receives_and_sends_across_its_end(self) -> None:
         left, right = socket.socketpair()
         ring, data = Ring(8192), os.urandom(50_000)
         self.addCleanup(left.close)
@@ -68,11 +69,11 @@
                 taken += left.recv(5000)
         self.assertEqual(taken, data)
 
-    def test_a_wheel_runs_each_timer_once_on_the_first_tick_after_its_time(self) -> None:
+    def test_wheel_runs_each_timer_once_on_the_first_tick_after_its_time(self) -> None:
         wheel, ran = Wheel(2000, 0), []
         for due in (1, 2000, 2001, 2000 * SLOTS + 1, 5000 * SLOTS):
             wheel.add(due, lambda due=due: ran.append(due))  # type: ignore[misc]
-        wheel.add(3000, lambda: ran.append(-1)).drop()
+        wheel.add(3000, lambda: ran.append(-1)).cancel()
         for now in range(0, 5002 * SLOTS, 1000):
             for call in wheel.advance(now):
                 before = len(ran)
@@ -82,7 +83,7 @@
         self.assertEqual(ran, [1, 2000, 2001, 2000 * SLOTS + 1, 5000 * SLOTS])
         self.assertIsNone(wheel.wait_us(0))
 
-    def test_a_wheel_that_was_not_turned_for_long_runs_all_that_fell_due(self) -> None:
+    def test_wheel_runs_all_due_timers_after_a_long_pause(self) -> None:
         wheel, ran = Wheel(2000, 0), []
         wheel.add(9_000_000, lambda: ran.append(2))
         wheel.add(4000, lambda: ran.append(1))
@@ -90,7 +91,7 @@
             call()
         self.assertEqual(ran, [1, 2])
 
-    def test_a_resent_upload_keeps_its_keys_and_a_change_made_anew_does_not(self) -> None:
+    def test_a_resent_upload_keeps_its_keys_and_a_new_change_gets_new_ones(self) -> None:
         keys = Keys(3_000_000)
 
         def upload(*parts: bytes) -> list[str]:
@@ -102,39 +103,42 @@
         self.assertEqual(len({*whole, *upload(b"a", b"c")}), 4)
         back = upload(b"a", b"b")
         self.assertEqual(back[:2], whole[:2])
-        self.assertNotIn(back[2], whole)  # b was overwritten by c: this is no repeat
+        self.assertNotIn(back[2], whole)  # c has overwritten b, so this is not a repeat
         keys.key(b"/f", b"remove", WHOLE, 0)
         anew = upload(b"a", b"b")
         self.assertFalse({*anew} & {*whole, *back})
         self.assertNotEqual(keys.key(b"/g", b"open", EXISTENCE, 0), whole[0])
 
-    def test_connections_kept_for_long_are_not_used_where_such_are_found_dead(self) -> None:
+    def test_idle_times_at_which_connections_were_found_dead_are_not_reused(self) -> None:
         reuse = Reuse()
         for i in range(200):
-            reuse.note(None, i % 10 == 0, 0.0)  # every tenth request is reset, on whatever connection
+            reuse.note(None, i % 10 == 0, 0.0)  # every tenth request is reset, whatever the connection
             reuse.note(0.01, i % 10 == 0, 0.0)
             if reuse.trusted(0.3):
                 reuse.note(0.3, i % 2 == 0, 0.0)
         self.assertEqual([reuse.trusted(s) for s in (0.01, 0.3, 3.0)], [True, False, True])
         for now in range(0, 40, 2):
             reuse.note(None, now % 10 == 0, now)
-        self.assertTrue(reuse.trusted(0.3))  # what was learned fades: it is tried again
+        self.assertTrue(reuse.trusted(0.3))  # observations expire, so it is tried again
 
-    def test_a_request_that_is_late_by_this_process_alone_is_answered_by_the_module_first(self) -> None:
-        """It was failed by the backstop, in the same turn in which the module would have refused it."""
+    def test_after_a_delay_of_the_process_the_module_answers_before_the_backstop(self) -> None:
+        """Guards against the backstop timer failing a request in the same step in which the module would have
+        refused it: after a delay of the process both are due at once."""
         now = [1_000_000]
         settings = Settings(classes=(RequestClass(100_000, 500_000),), plans=(Plan(),), step_us=2000,
                             answer_slack_us=8000)  # fmt: skip
         engine, results = Engine(settings, 100, Counters(), clock=lambda: now[0]), list[Result]()
-        talk = Command(b"BLK.READ", b"", b"", (), ()).exchange
-        engine.submit(Request(0, 0, "v", 1.0, 0, 1, "k", now[0] + 500_000, talk, results.append, "platform"))
+        exchange = Command(b"BLK.READ", b"", b"", (), ()).exchange
+        engine.submit(
+            Request(0, 0, "v", 1.0, 0, 1, "k", now[0] + 500_000, exchange, results.append, "platform")
+        )
         engine.turn()
-        now[0] += 700_000  # held up
+        now[0] += 700_000  # the process was delayed
         engine.turn()
         self.assertEqual([r.verdict for r in results], [Verdict.REFUSED])
         self.assertEqual(engine.counters["requests.overdue"], 0)
 
-    def test_what_the_engine_and_the_pool_hold_does_not_grow_with_ids_and_requests(self) -> None:
+    def test_memory_of_engine_and_pool_does_not_grow_with_ids_and_requests(self) -> None:
         server = StreamServer(("127.0.0.1", 0), answer_all)
         server.start()
         self.addCleanup(server.stop)
@@ -153,26 +157,26 @@
                 done.set()
 
             engine.listed(ListKind.FULL, i, [NodeEntry(node, 0)], {node: address})
-            talk = Command(b"BLK.READ", b"", b"", (), ()).exchange
+            exchange = Command(b"BLK.READ", b"", b"", (), ()).exchange
             due = clock_us() + 10_000_000
-            engine.submit(Request(0, 0, f"v{i}", 1.0, 0, 1, f"k{i}", due, talk, answer, "platform"))
+            engine.submit(Request(0, 0, f"v{i}", 1.0, 0, 1, f"k{i}", due, exchange, answer, "platform"))
             held.append(weakref.ref(answer))
-            self.assertTrue(asked.wait(5.0))
-            engine.listed(ListKind.FULL, i, [], {})  # gone while it has the request
+            self.assertTrue(request_received.wait(5.0))
+            engine.listed(ListKind.FULL, i, [], {})  # the node is removed while it has the request
             while engine.nodes:
                 gevent.sleep(0)
-            go.set()
+            may_answer.set()
             self.assertTrue(done.wait(5.0))
-            asked.clear()
-            go.clear()
+            request_received.clear()
+            may_answer.clear()
         gevent.sleep(0)
         self.assertEqual(counters["requests.served"], 30)
         self.assertEqual((len(engine.requests), len(pool._idle), pool._count), (0, 0, 0))
         self.assertEqual(len(engine.controller.requests), 0)
-        self.assertLessEqual(len(engine.controller.nodes), 1)  # the last goes with the next list
+        self.assertLessEqual(len(engine.controller.nodes), 1)  # the last one is dropped at the next list
         self.assertLess(sum(ref() is not None for ref in held), 3)  # deadlines are 10 s away
 
-    def test_a_bad_configuration_is_one_line_and_exit_code_2(self) -> None:
+    def test_an_invalid_configuration_gives_one_line_and_exit_code_2(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder) / "config.json"
             file.write_text('{"listen": "127.0.0.1:0", "discovery": "nowhere", "settings": {}}')
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP, without sockets: which files are refused, naming key and line; how classes join."""
+"""New settings at SIGHUP, without sockets: files rejected with key and line, and the merging of classes."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 
 class RetuneTest(unittest.TestCase):
-    def test_broken_files_name_the_key_and_its_line(self) -> None:
-        check(GOOD, text_of(GOOD))  # a whole file is taken
+    def test_invalid_files_are_rejected_with_the_key_and_its_line(self) -> None:
+        check(GOOD, text_of(GOOD))  # a valid file is accepted
         zero = {
             "settings": {
                 "Caps": {"MaxAttempts": 2},
@@ -35,12 +35,12 @@
             (zero, "line 13: Profiles[1].HardLimitUs: must be a number over 0, not 0"),
             (no_attempts, "line 4: Caps.MaxAttempts: must be a number over 0, not 0"),
         ]
-        for raw, said in cases:
-            with self.subTest(said), self.assertRaises(RetuneError) as caught:
+        for raw, message in cases:
+            with self.subTest(message), self.assertRaises(RetuneError) as caught:
                 check(raw, text_of(raw))
-            self.assertIn(said, str(caught.exception))
+            self.assertIn(message, str(caught.exception))
 
-    def test_classes_only_grow_and_names_move_to_their_new_rules(self) -> None:
+    def test_the_class_table_only_grows_and_names_move_to_their_new_rules(self) -> None:
         read, write = READ, WRITE
         old = Settings(classes=(read, write), plans=(Plan(),), max_attempts=3)
         keyed = replace(write, effect=Effect.KEYED)
@@ -54,8 +54,8 @@
         again, _, _ = merge(settings.classes, new, {"write": 0, "read": 1}, bound, True)
         self.assertEqual(again.classes, settings.classes)  # the same file again adds nothing
 
-    def test_write_flags_that_stayed_while_the_classes_moved_are_not_believed(self) -> None:
-        # Seen on the operators' days: ClassWrites [false, true] beside three classes in another order.
+    def test_write_flags_that_do_not_match_the_classes_are_ignored(self) -> None:
+        # Seen in operation: ClassWrites stayed [false, true] while the classes became three in another order.
         read, write = READ, WRITE
         moved = Settings(
             classes=(replace(write, writes=False), replace(read, writes=True), read), plans=(Plan(),)
@@ -64,4 +64,4 @@
         settings, bound, unknown = merge((read, write), moved, names, {"read": 0, "write": 1}, False)
         self.assertTrue(settings.classes[bound["write"]].writes)
         self.assertFalse(settings.classes[bound["read"]].writes)
-        self.assertEqual(unknown, {bound["write-2"]})  # a new name: the front takes either command for it
+        self.assertEqual(unknown, {bound["write-2"]})  # a new name: the front accepts either command for it
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Signals at each step of a start, and descriptors that run out while discovery is down."""
+"""Signals at each step of a start, and exhausted descriptors while discovery is down."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 from tests.exchange import PATIENCE_S, ROOT, SETTINGS, Player, free_address
 
-ASKED, REST = (
+REQUEST_START, REQUEST_END = (
     "BLK.READ 0000000000000001 2 c=match-read,t=priority,d=",
     ",volume=00000000000000f1,units=2,shard=1,hosts=1",
 )
 
-# Sends itself the signals named, just before or behind the named step of the start.
-GATED = """
+# A program that sends itself the given signals just before or just after the given step of its start.
+SELF_SIGNALLING_PROGRAM = """
 import os, signal, sys
 import stackrouter.__main__ as program
 step, when, names = sys.argv[1:4]
@@ -35,7 +35,7 @@
         tell()
     done = real(*args, **kwargs)
     if when == "behind":
-        if "SIGHUP" in names:  # the file is another by now
+        if "SIGHUP" in names:  # the file has changed by now
             path = os.environ["GW_CONFIG"]
             text = open(path).read().replace(os.environ["OLD"], os.environ["NEW"])
             open(path, "w").write(text)
@@ -67,7 +67,7 @@
         self.addCleanup(program.kill)
         return program
 
-    def pong(self) -> None:
+    def wait_for_pong(self) -> None:
         host, port = self.listen.split(":")
         until = time.monotonic() + PATIENCE_S
         while True:
@@ -80,41 +80,43 @@
                 self.assertLess(time.monotonic(), until, "never ready")
                 time.sleep(0.01)
 
-    def test_a_stop_during_the_start_is_carried_out_behind_it(self) -> None:
-        """It ended the process at once, exit by the signal, with whoever had connected."""
+    def test_a_stop_signal_during_the_start_is_handled_after_it(self) -> None:
+        """Guards against the signal killing the process, and with it the client connections made so far."""
         for step, when in (("load", "before"), ("load", "behind"), ("Gateway", "behind")):
             for names in ("SIGTERM", "SIGTERM+SIGTERM", "SIGHUP+SIGTERM", "SIGINT"):
                 with self.subTest(step=step, when=when, names=names):
-                    program = self.start("-c", GATED, step, when, names)
-                    _, said = program.communicate(timeout=PATIENCE_S)
-                    self.assertEqual(program.returncode, 0, said)
-                    self.assertIn("listening on", said)
-                    self.assertNotIn("Traceback", said)
-
-    def test_a_file_changed_while_the_start_is_under_way_is_read(self) -> None:
-        """SIGHUP was ignored until the loop ran: the gateway went on asking discovery at the old address."""
+                    program = self.start("-c", SELF_SIGNALLING_PROGRAM, step, when, names)
+                    _, stderr = program.communicate(timeout=PATIENCE_S)
+                    self.assertEqual(program.returncode, 0, stderr)
+                    self.assertIn("listening on", stderr)
+                    self.assertNotIn("Traceback", stderr)
+
+    def test_a_file_that_changes_during_the_start_is_reloaded(self) -> None:
+        """Guards against a lost SIGHUP: it was ignored until the event loop ran, and the gateway kept calling
+        discovery at the old address."""
         for step in ("load", "Gateway"):
             with self.subTest(step):
-                program = self.start("-c", GATED, step, "behind", "SIGHUP")
-                self.pong()
+                program = self.start("-c", SELF_SIGNALLING_PROGRAM, step, "behind", "SIGHUP")
+                self.wait_for_pong()
                 program.send_signal(signal.SIGTERM)
-                _, said = program.communicate(timeout=PATIENCE_S)
-                self.assertEqual(program.returncode, 0, said)
-                self.assertIn(f"configuration read again: discovery at {self.new}", said)
+                _, stderr = program.communicate(timeout=PATIENCE_S)
+                self.assertEqual(program.returncode, 0, stderr)
+                self.assertIn(f"configuration reloaded: discovery at {self.new}", stderr)
                 self.path.write_text(self.path.read_text().replace(self.new, self.old))
 
-    def test_signals_together_and_twice_while_it_serves(self) -> None:
+    def test_combined_and_repeated_signals_while_serving(self) -> None:
         for numbers in ((signal.SIGHUP, signal.SIGTERM), (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM)):
             program = self.start("-m", "stackrouter")
-            self.pong()
+            self.wait_for_pong()
             for number in numbers:
                 program.send_signal(number)
-            _, said = program.communicate(timeout=PATIENCE_S)
-            self.assertEqual(program.returncode, 0, said)
-            self.assertNotIn("Traceback", said)
+            _, stderr = program.communicate(timeout=PATIENCE_S)
+            self.assertEqual(program.returncode, 0, stderr)
+            self.assertNotIn("Traceback", stderr)
 
-    def test_a_hang_up_before_the_interpreter_is_up_ends_nothing(self) -> None:
-        """As `run` starts it: ignored until the program takes signals, which reads the file after."""
+    def test_sighup_before_the_interpreter_runs_is_harmless(self) -> None:
+        """Started as `run` does it: SIGHUP is ignored until the program handles signals, and the file is read
+        after that."""
         program = subprocess.Popen(
             ["sh", "-c", f"trap '' HUP; exec {sys.executable} -m stackrouter"],
             cwd=ROOT, env=self.environ, stderr=subprocess.PIPE, text=True,
@@ -125,15 +127,16 @@
         for _ in range(20):
             program.send_signal(signal.SIGHUP)
             time.sleep(0.005)
-        self.pong()
+        self.wait_for_pong()
         program.send_signal(signal.SIGTERM)
-        _, said = program.communicate(timeout=PATIENCE_S)
-        self.assertEqual(program.returncode, 0, said)
+        _, stderr = program.communicate(timeout=PATIENCE_S)
+        self.assertEqual(program.returncode, 0, stderr)
 
 
-class Descriptors(unittest.TestCase):
-    def test_idle_clients_that_fill_the_descriptors_keep_neither_news_nor_nodes_out(self) -> None:
-        """Discovery is down meanwhile; once it is back it is heard, and a request served, at once."""
+class DescriptorExhaustion(unittest.TestCase):
+    def test_idle_clients_on_all_descriptors_block_neither_discovery_nor_nodes(self) -> None:
+        """Guards against idle clients that leave no descriptors for discovery and nodes: as soon as discovery
+        is back, its list is read and a request is served."""
         with tempfile.TemporaryDirectory() as folder:
             script = Path(folder) / "script.txt"
             script.write_text("# sockets=64 discovery=silent\n")
@@ -141,14 +144,14 @@
                 resource.prlimit(p.program.pid, resource.RLIMIT_NOFILE, (64, 64))
                 host, port = p.listen.split(":")
                 idle = [socket.create_connection((host, int(port))) for _ in range(150)]
-                time.sleep(1.0)  # some 5 calls to discovery while all are held
+                time.sleep(1.0)  # about 5 calls to discovery while all descriptors are in use
                 p.discovery.silent = False
                 back = time.monotonic()
                 with p.discovery.news:
                     self.assertTrue(p.discovery.news.wait_for(lambda: p.discovery.heard == 1, PATIENCE_S))
                 self.assertLess(time.monotonic() - back, 1.0)
-                p.act("a", ">", f"resp {ASKED}1900{REST}")
-                p.act("s1", "<", f"resp {ASKED}~~~{REST}")
+                p.act("a", ">", f"resp {REQUEST_START}1900{REQUEST_END}")
+                p.act("s1", "<", f"resp {REQUEST_START}~~~{REQUEST_END}")
                 p.act("s1", ">", r'"*3\r\n$2\r\nhi\r\n$-1\r\n$-1\r\n"')
                 p.act("a", "<", r'"$2\r\nhi\r\n"')
                 for sock in idle:
