--- a/stackrouter/errors.py
+++ b/stackrouter/errors.py
@@ -1,9 +1,10 @@
-"""Every error that reaches an operator: in a log line, at an exit, through the door, on the command line.
+"""Every error that an operator may see: in a log line, at an exit, on the admin port, on the command line.
 
-An error has a type of its own with a stable code. It says what happened and where (file, line, key, address);
-its type says what it means and what an operator can do. `stackrouter explain CODE` and the page
-docs/operators/errors.md are made from the types below, so that they cannot differ; tests/test_errors.py finds
-a raise or a log line that goes past them. Standard library alone: the lean start imports this module.
+Each kind of error has its own type with a stable code. An error says what happened and where (file, line,
+key, address); its type says what it means and what an operator can do. `stackrouter explain CODE` and the
+page docs/operators/errors.md are generated from the types below, so that they cannot differ;
+tests/test_errors.py finds a raise or a log line that doesn't use them. Imports only the standard library,
+because the gateway imports this module also at a start without optional features.
 """
 
 from __future__ import annotations
@@ -15,7 +16,8 @@
 
 
 class StackrouterError(Exception):
-    """The root. A type without a code is a family, to be caught, never raised."""
+    """Base class of all errors for operators. A type without a code groups others: it is caught, never
+    raised."""
 
     code: ClassVar[str] = ""
     do: ClassVar[str] = ""
@@ -28,65 +30,68 @@
     def __init__(self, what: object, *, file: object = "", line: int = 0, key: str = "",
                  address: object = "") -> None:  # fmt: skip
         super().__init__(what)
-        self.what = " ".join(str(what).split())  # an error is one line wherever it is shown
+        self.what = " ".join(str(what).split())  # an error is always shown on one line
         self.file, self.line, self.key, self.address = str(file), line, key, str(address)
 
     def within(self, file: str) -> StackrouterError:
-        """The same, once it is known in which file."""
+        """A copy of the error that names the file, for callers that know it."""
         return type(self)(self.what, **(self.where() | {"file": file}))
 
     def __reduce__(self) -> tuple[Any, ...]:
-        return _again, (type(self), self.what, self.where())
+        return _rebuild, (type(self), self.what, self.where())
 
     def __str__(self) -> str:
         places = (self.file, f"line {self.line}" if self.line else "", self.key, self.address)
         return ": ".join([*filter(None, places), self.what])
 
     def where(self) -> dict[str, Any]:
-        """The places that are known: file, line, key, address."""
+        """The known parts of the location: file, line, key, address."""
         places = {"file": self.file, "line": self.line, "key": self.key, "address": self.address}
         return {name: place for name, place in places.items() if place}
 
     def coded(self) -> str:
+        """Code, location and what happened, as log lines and admin answers show it."""
         return f"{self.code}: {self}"
 
     def whole(self) -> str:
-        """One line for an exit or a command: code, place, what happened, what to do."""
+        """One line for an exit or a command: code, location, what happened, what to do."""
         return f"{self.coded()}. {self.do}"
 
     def fields(self) -> dict[str, Any]:
-        """For answers in JSON."""
+        """The error as a JSON object."""
         return {"code": self.code, "error": str(self), "where": self.where(), "do": self.do}
 
     @classmethod
     def means(cls) -> str:
+        """What errors of this type mean: the docstring on one line."""
         return " ".join((cls.__doc__ or "").split())
 
 
-def _again(cls: type[StackrouterError], what: str, where: dict[str, Any]) -> StackrouterError:
+def _rebuild(cls: type[StackrouterError], what: str, where: dict[str, Any]) -> StackrouterError:
     return cls(what, **where)
 
 
 def tell(log: logging.Logger, error: StackrouterError, doing: str = "", level: int = logging.WARNING) -> None:
-    """One log line: code, what was being done, where, what happened. `doing` comes before the place."""
+    """Writes one log line: code, the operation in progress (`doing`), location, what happened."""
     extra = {"code": error.code, **{f"at_{name}": place for name, place in error.where().items()}}
     log.log(level, "%s: %s%s", error.code, f"{doing}: " if doing else "", error, extra=extra)
 
 
 def defect(log: logging.Logger, doing: str) -> None:
-    """An exception that nothing foresaw, caught so that the gateway goes on: the line and its traceback."""
+    """Logs an unexpected exception with its traceback; called where it is caught so that the gateway
+    continues."""
     log.exception("%s: %s", InternalError.code, doing, extra={"code": InternalError.code})
 
 
 class InternalError(
     StackrouterError, code="SR-INTERNAL",
-    do="Report it with the lines of the traceback. What was under way has failed, all else goes on; where it"
+    do="Report it with the traceback. The operation in progress has failed, everything else continues; if it"
     " repeats, stop the gateway with SIGTERM and start it again.",
 ):  # fmt: skip
-    """A defect of the program: an exception that nothing foresaw was caught."""
+    """A defect of the program: an unexpected exception was caught."""
 
 
-# --- the start, and a configuration that is read again
+# --- start and reload of the configuration
 
 
 class ConfigError(StackrouterError):
@@ -94,98 +99,104 @@
 
 
 class UnsetError(
-    ConfigError, code="SR-CONFIG-UNSET", do="Set the variable for the program that `run` starts."
+    ConfigError,
+    code="SR-CONFIG-UNSET",
+    do="Set the variable in the environment of the program that `run` starts.",
 ):
     """An environment variable that the start needs is not set."""
 
 
 class VariableError(
     ConfigError, code="SR-CONFIG-ENV",
-    do="Correct or unset the variable; README.md says what each may hold.",
+    do="Correct or unset the variable; README.md describes the valid values.",
 ):  # fmt: skip
-    """An environment variable holds what cannot be used."""
+    """An environment variable has an invalid value."""
 
 
 class ConfigFileError(
     ConfigError, code="SR-CONFIG-FILE",
-    do="See that the file is there, can be read by the gateway's user and holds one whole JSON object; a file"
-    " that is replaced is best renamed into its place.",
+    do="Check that the file exists, is readable by the gateway's user and holds one complete JSON object;"
+    " replace it by renaming a new file over it.",
 ):  # fmt: skip
-    """The file that GW_CONFIG names cannot be read, or is no JSON."""
+    """The file named by GW_CONFIG cannot be read or is not valid JSON."""
 
 
 class ConfigKeyError(
-    ConfigError, code="SR-CONFIG-KEY", do="Add the key; the platform's pages and README.md name them all."
+    ConfigError,
+    code="SR-CONFIG-KEY",
+    do="Add the key; the platform's documentation and README.md list them all.",
 ):
-    """A key that the configuration must have is missing."""
+    """A required key of the configuration is missing."""
 
 
 class ConfigValueError(
-    ConfigError, code="SR-CONFIG-VALUE", do="Correct the value at the place named; nothing else need change."
+    ConfigError,
+    code="SR-CONFIG-VALUE",
+    do="Correct the value at the location named; nothing else has to change.",
 ):
-    """A value in the configuration is of the wrong kind or out of its bounds."""
+    """A value in the configuration has the wrong type or is out of range."""
 
 
 class AddressError(
     ConfigError, code="SR-CONFIG-ADDRESS", do="Write it as ADDRESS:PORT, with a port up to 65535."
 ):
-    """An address that is no address and port."""
+    """A value is not an address with a port."""
 
 
 class ListenError(
     ConfigError, code="SR-CONFIG-LISTEN",
-    do="See that the address is this machine's and that no other process listens there; at an upgrade the"
-    " platform hands the socket over in GW_LISTEN_FD.",
+    do="Check that the address belongs to this machine and that no other process listens there; at an"
+    " upgrade the platform passes the socket in GW_LISTEN_FD.",
 ):  # fmt: skip
-    """A listening socket cannot be had at the address that the configuration gives."""
+    """A listening socket cannot be opened at the configured address."""
 
 
 class StartSystemError(
     ConfigError, code="SR-CONFIG-SYSTEM",
-    do="See what the system says of the file or address quoted: rights, room on the disk, descriptors.",
+    do="Check the file or address in the system's message: permissions, disk space, descriptors.",
 ):  # fmt: skip
-    """The system refused something that the start needs."""
+    """A system call that the start needs has failed."""
 
 
 class MissingExtraError(
     ConfigError,
     code="SR-CONFIG-EXTRA",
-    do="Install what is named, or turn the part off in the operator's file.",
+    do="Install the package named, or turn the feature off in the operator's file.",
 ):
-    """A part that is turned on needs a library that is not installed."""
+    """A feature that is turned on needs a library that is not installed."""
 
 
 class RetuneError(ConfigError):
-    """New settings cannot be taken; the old ones stay, whole."""
+    """New settings cannot be applied; the old ones stay in force unchanged."""
 
 
 class RetuneKeyError(
     RetuneError,
     code="SR-RELOAD-KEY",
-    do="Add the key to the new file and send SIGHUP again; the old settings hold.",
+    do="Add the key to the new file and send SIGHUP again; the old settings stay in force.",
 ):
-    """A file read again lacks a key that settings must have."""
+    """A required key of the settings is missing from a reloaded file."""
 
 
 class RetuneValueError(
     RetuneError, code="SR-RELOAD-VALUE",
-    do="Correct the value in the new file and send SIGHUP again; the old settings hold.",
+    do="Correct the value in the new file and send SIGHUP again; the old settings stay in force.",
 ):  # fmt: skip
-    """A file read again holds a value that settings may not have."""
+    """A reloaded file has an invalid value in its settings."""
 
 
 class ManyClassesError(
     RetuneError, code="SR-RELOAD-CLASSES",
-    do="Restart the gateway, which begins with the classes of its file alone, or go back to older classes.",
+    do="Restart the gateway, which then has only the classes of its file, or return to earlier classes.",
 ):  # fmt: skip
-    """The changes since the start have added more classes than one process keeps."""
+    """The changes since the start have added more classes than one process can keep."""
 
 
 class PolicyInForceError(
     StackrouterError, code="SR-RELOAD-POLICY",
-    do="Change the settings for all with `stackrouter policy propose`; limits and discovery were taken.",
+    do="Change the fleet's settings with `stackrouter policy propose`; limits and discovery were applied.",
 ):  # fmt: skip
-    """The settings of a file read again are left out, since a policy of the fleet is in force."""
+    """The settings of a reloaded file are ignored because a policy of the fleet is in force."""
 
 
 # --- the operator's file
@@ -198,102 +209,104 @@
 class EdgeFileError(
     EdgeError,
     code="SR-EDGE-FILE",
-    do="See that GW_EDGE names a file of UTF-8 text that the gateway may read.",
+    do="Check that GW_EDGE names a file of UTF-8 text that the gateway can read.",
 ):
     """The operator's file cannot be read."""
 
 
 class EdgeTextError(
     EdgeError, code="SR-EDGE-TEXT",
-    do="Correct the line; deploy/edge.txtpb shows the form, `stackrouter check FILE` reads a file by itself.",
+    do="Correct the line; deploy/edge.txtpb is an example, `stackrouter check FILE` checks a file.",
 ):  # fmt: skip
-    """The operator's file is no protobuf text of its schema."""
+    """The operator's file is not valid protobuf text of its schema."""
 
 
 class EdgeValueError(
     EdgeError, code="SR-EDGE-VALUE",
-    do="Set the field as stackrouter/edge/edge.proto says, then run `stackrouter check FILE`.",
+    do="Set the field as stackrouter/edge/edge.proto describes, then run `stackrouter check FILE`.",
 ):  # fmt: skip
-    """A field of the operator's file is missing or out of its bounds."""
+    """A field of the operator's file is missing or out of range."""
 
 
 class EdgeNameError(
-    EdgeError, code="SR-EDGE-NAME", do="Use one of the names listed, which are those of the platform's file."
+    EdgeError, code="SR-EDGE-NAME", do="Use one of the names listed, which come from the platform's file."
 ):
-    """The operator's file names a class, a plan or a member that is not there."""
+    """The operator's file names a class, a plan or a member that does not exist."""
 
 
 class EdgeReaderError(
     EdgeError, code="SR-EDGE-READER",
-    do="Run `stackrouter check FILE`, which reads it in the open; see whether memory ran short at the start.",
+    do="Run `stackrouter check FILE`, which shows errors in the file; check whether memory ran out at start.",
 ):  # fmt: skip
-    """The process that reads the operator's file ended without an answer."""
+    """The process that reads the operator's file exited without a result."""
 
 
 class FolderError(
-    ConfigError, code="SR-COORD-FOLDER", do="Give coordination.folder a folder that the gateway may write to."
+    ConfigError,
+    code="SR-COORD-FOLDER",
+    do="Set coordination.folder to a directory that the gateway can write to.",
 ):
     """The journal of coordination cannot be written."""
 
 
 class TimesError(
     ConfigError, code="SR-COORD-TIMES",
-    do="Keep max_drift_ms well below ttl_ms, and election_ms at several heartbeats; docs/operators/"
-    "coordination.md has the figures.",
+    do="Keep max_drift_ms well below ttl_ms, and election_ms at several heartbeats; see docs/operators/"
+    "coordination.md for values.",
 ):  # fmt: skip
-    """The times of coordination do not go together."""
+    """The time settings of coordination contradict each other."""
 
 
 # --- discovery
 
 
 class DiscoveryError(StackrouterError):
-    """A call to discovery gave no list. The gateway serves on with the list it has."""
+    """A call to discovery returned no list. The gateway keeps using its current list."""
 
 
 class TurnedAwayError(
     DiscoveryError, code="SR-DISCOVERY-REFUSED",
-    do="Nothing, while it passes: the call comes again later and rarer. If it lasts, discovery has too many"
-    " callers: spread restarts, or let the gateways coordinate so that one asks for all.",
+    do="Nothing if it is temporary: calls are retried with increasing delays. If it lasts, discovery has"
+    " too many callers: spread restarts, or turn on coordination so that one gateway calls for all.",
 ):  # fmt: skip
-    """Discovery is there and turned the call away."""
+    """Discovery is reachable and refused the call."""
 
 
 class SilentError(
     DiscoveryError, code="SR-DISCOVERY-SILENT",
-    do="See whether the agent runs. What changes meanwhile is not known here: drain no nodes until the"
-    " counter discovery.answers grows again.",
+    do="Check whether the agent runs. Until then the gateway does not learn of changes: drain no nodes"
+    " until the counter discovery.answers increases again.",
 ):  # fmt: skip
-    """A call to discovery was not answered in time and was given up; the whole list is asked for next."""
+    """A call to discovery timed out; the next call asks for the whole list."""
 
 
 class UnreachableError(
     DiscoveryError, code="SR-DISCOVERY-UNREACHABLE",
-    do="See that the agent listens at the address, and that the configuration names the right one.",
+    do="Check that the agent listens at the address and that the configuration has the right address.",
 ):  # fmt: skip
-    """No connection to discovery can be made, or it broke off."""
+    """Connecting to discovery failed, or the connection was lost."""
 
 
 class NoListError(
     DiscoveryError, code="SR-DISCOVERY-ANSWER",
-    do="Look at what answers there (`curl ADDRESS/v1/endpoints`): another service, a proxy, or a list that"
-    " is cut off.",
+    do="Check what answers there (`curl ADDRESS/v1/endpoints`): it may be another service, a proxy, or a list"
+    " that is truncated.",
 ):  # fmt: skip
-    """What discovery answered is no list of nodes."""
+    """Discovery's answer is not a list of nodes."""
 
 
 class NamedTwiceError(
     DiscoveryError, code="SR-DISCOVERY-TWICE",
-    do="Have the list corrected where it is made; until then the last entry of a name counts.",
+    do="Correct the list at its source; until then the last entry of each name is used.",
 ):  # fmt: skip
-    """A list names nodes twice."""
+    """A list contains the same node more than once."""
 
 
 class ShrunkError(
     DiscoveryError, code="SR-DISCOVERY-SHRUNK",
-    do="See whether these nodes are truly gone. The list is believed: what it leaves out gets nothing new.",
+    do="Check whether these nodes are really gone. The list is applied: nodes not on it get no requests.",
 ):  # fmt: skip
-    """A whole list names less than half of the nodes of the one before."""
+    """A whole list has less than half of the nodes of the previous one."""
 
 
 # --- connections
@@ -302,68 +315,68 @@
 class NodeSocketsError(
     StackrouterError, code="SR-NODE-SOCKETS",
     do="Raise `sockets` in the limits, or spread the nodes over more gateways: 40% of the descriptors are"
-    " for nodes.",
+    " reserved for nodes.",
 ):  # fmt: skip
-    """An attempt found every socket for nodes in use and was not sent."""
+    """An attempt was not sent because all sockets for nodes were in use."""
 
 
 class ClientCommandError(
     StackrouterError, code="SR-CLIENT-COMMAND",
     do="Compare the client's command with the settings: classes, plans, sizes and shards. The first eight are"
-    " shown, clients.bad_command counts all.",
+    " logged; the counter clients.bad_command has their number.",
 ):  # fmt: skip
-    """A client's command could not be used and was answered with an error."""
+    """A client's command was invalid and was answered with an error."""
 
 
 class ActionError(
     StackrouterError,
     code="SR-MODULE-ACTION",
-    do="Report it: the decision module wants what the settings forbid.",
+    do="Report it: the decision module asked for something that the settings forbid.",
 ):
-    """The decision module asked for an action that is not allowed here."""
+    """The decision module asked for an action that the settings do not allow."""
 
 
-# --- the operators' door
+# --- admin port
 
 
 class DoorError(StackrouterError):
-    """A call at the operators' door cannot be carried out."""
+    """A call on the admin port failed."""
 
 
 class DoorCallError(
     DoorError,
     code="SR-DOOR-CALL",
-    do="Send one line with one of the calls of docs/operators/door.md within 0.9 s.",
+    do="Send one line with one of the calls in docs/operators/door.md within 0.9 s.",
 ):
-    """What came to the door is no call of this gateway."""
+    """The line received on the admin port is not a valid call."""
 
 
 class StoppingError(
-    DoorError, code="SR-DOOR-STOPPING", do="Nothing: the gateway finishes what it has taken and exits with 0."
+    DoorError, code="SR-DOOR-STOPPING", do="Nothing: the gateway answers its open requests and exits with 0."
 ):
-    """The gateway was told to stop, and no longer says that it can serve."""
+    """The gateway received a stop signal and no longer reports that it serves."""
 
 
 class NotReadyError(
     DoorError, code="SR-DOOR-NOT-READY",
-    do="Wait, or see `stackrouter policy status`: it does not yet serve under the fleet's policy.",
+    do="Wait, or see `stackrouter policy status`: the gateway has not yet applied the fleet's policy.",
 ):  # fmt: skip
-    """The gateway may not serve yet."""
+    """The gateway is not ready to serve yet."""
 
 
 class DoorAcceptError(
     DoorError,
     code="SR-DOOR-ACCEPT",
-    do="See whether descriptors ran out (`limits.sockets`); the door tries again.",
+    do="Check whether descriptors ran out (`limits.sockets`); accepting is retried.",
 ):
-    """A caller could not be let in at the door."""
+    """A connection to the admin port could not be accepted."""
 
 
 # --- coordination
 
 
 class PolicyError(StackrouterError):
-    """A change of the fleet's policy was not made."""
+    """A change of the fleet's policy failed."""
 
 
 class NoPolicyError(
@@ -371,140 +384,142 @@
     code="SR-POLICY-OFF",
     do="Turn on coordination.policy in the operator's file of every member.",
 ):
-    """This gateway keeps no policy of a fleet."""
+    """Fleet policy is turned off on this gateway."""
 
 
 class PolicyBaseError(
     PolicyError, code="SR-POLICY-BASE",
-    do="Look at `stackrouter policy status`, read what changed, and propose again on the newest version.",
+    do="See `stackrouter policy status`, review the change, and propose again based on the newest version.",
 ):  # fmt: skip
-    """Another change came first: the version that this one builds on is not the newest."""
+    """Another change was committed first: the base version of this one is not the newest."""
 
 
 class PolicyVersionError(
     PolicyError, code="SR-POLICY-VERSION",
-    do="Look at `stackrouter policy status` for the versions that this member knows.",
+    do="See `stackrouter policy status` for the versions that this member knows.",
 ):  # fmt: skip
-    """The version named, or the one before it, is not known here."""
+    """The version named, or the one before it, is unknown to this member."""
 
 
 class PolicyUnknownError(
     PolicyError, code="SR-POLICY-UNKNOWN",
-    do="Look at `stackrouter policy status` once the members have a leader; propose again only if it is not"
-    " there.",
+    do="See `stackrouter policy status` once the members have a leader; propose again only if the change is"
+    " not listed.",
 ):  # fmt: skip
-    """It is not known whether the change was committed."""
+    """It is unknown whether the change was committed."""
 
 
 class PolicyRefusedError(
-    PolicyError, code="SR-POLICY-REFUSED", do="Do what the reason says; nothing has changed anywhere."
+    PolicyError, code="SR-POLICY-REFUSED", do="Follow the reason given; nothing was changed on any member."
 ):
-    """The members did not take the change."""
+    """The members rejected the change."""
 
 
 class PolicyFileError(
-    PolicyError, code="SR-POLICY-FILE", do="Give a file like GW_CONFIG's, readable on the member's machine."
+    PolicyError,
+    code="SR-POLICY-FILE",
+    do="Name a file with the format of GW_CONFIG's that is readable on the member's machine.",
 ):
-    """The file of a proposed policy cannot be used."""
+    """The file of a proposed policy is invalid."""
 
 
 class PolicyTakeError(
     PolicyError, code="SR-POLICY-TAKE",
-    do="Compare this member's own file with the others': the policy fits them and not it. It serves on under"
-    " its last version and says that it is not ready.",
+    do="Compare this member's own file with those of the others, which the policy fits. The member"
+    " continues with its last version and reports that it is not ready.",
 ):  # fmt: skip
-    """A committed policy could not be taken by this member."""
+    """This member could not apply a committed policy."""
 
 
 class StoreError(
     StackrouterError, code="SR-COORD-STORE",
-    do="See whether the peers or the store answer at their addresses; without them the gateway serves alone,"
-    " as with coordination off.",
+    do="Check whether the peers or the store answer at their addresses; without them the gateway serves"
+    " alone, as with coordination turned off.",
 ):  # fmt: skip
-    """The store that coordination is built on cannot be reached or answered wrongly."""
+    """The store used for coordination is unreachable or gave an invalid answer."""
 
 
-# --- the control plane apart from the gateways
+# --- separate control plane
 
 
 class ControlError(StackrouterError):
-    """What went wrong between a gateway and the control plane."""
+    """An error between a gateway and the control plane."""
 
 
 class NoControlError(
     ControlError, code="SR-CONTROL-OFF",
     do="Set control { enabled region replica } in the operator's file of this gateway.",
 ):  # fmt: skip
-    """This gateway observes no control plane."""
+    """This gateway is not connected to a control plane."""
 
 
 class FrameError(ControlError):
-    """What came is no frame of the control plane."""
+    """Received bytes are not a valid frame of the control plane."""
 
 
 class FrameTooLargeError(
     FrameError, code="SR-CONTROL-FRAME-SIZE",
-    do="See what connects there: other programs' first bytes read as a length. Control ports are for gateways"
-    " and replicas alone.",
+    do="Check what connects there: the first bytes of other protocols are read as a length. Control ports"
+    " are for gateways and replicas only.",
 ):  # fmt: skip
-    """A frame announces more bytes than are taken. The connection was closed."""
+    """A frame announces more bytes than the maximum. The connection was closed."""
 
 
 class FrameUnreadableError(
     FrameError, code="SR-CONTROL-FRAME",
-    do="See that both ends run releases that go together, and that nothing between them changes bytes.",
+    do="Check that both ends run compatible releases, and that nothing between them modifies the data.",
 ):  # fmt: skip
-    """A frame cannot be read. The connection was closed."""
+    """A frame cannot be decoded. The connection was closed."""
 
 
 class FrameEmptyError(
     FrameError, code="SR-CONTROL-FRAME-EMPTY",
-    do="See that both ends run releases that go together: a frame of a newer kind reads as an empty one.",
+    do="Check that both ends run compatible releases: a frame of a newer type is decoded as an empty one.",
 ):  # fmt: skip
-    """A frame holds nothing that this release knows. The connection was closed."""
+    """A frame has no content that this release knows. The connection was closed."""
 
 
 class FrameUnexpectedError(
     FrameError, code="SR-CONTROL-FRAME-UNEXPECTED",
-    do="See that both ends run releases that go together; report it where they do.",
+    do="Check that both ends run compatible releases; report it if they do.",
 ):  # fmt: skip
-    """A frame can be read and is not allowed at this point of a connection. The connection was closed."""
+    """A valid frame is not allowed in this state of the connection. The connection was closed."""
 
 
 class SnapshotRefusedError(
     ControlError, code="SR-CONTROL-SNAPSHOT",
-    do="Nothing, while it passes: another replica is asked. If it lasts, report it with the replica's name.",
+    do="Nothing if temporary: another replica is tried. If it lasts, report it with the replica's name.",
 ):  # fmt: skip
-    """A snapshot from a control replica cannot be used; nothing of it was taken."""
+    """A snapshot from a control replica is invalid; nothing of it was applied."""
 
 
 class StreamGapError(
     ControlError, code="SR-CONTROL-GAP",
-    do="Nothing: the gateway resumes where it stands. If it lasts, restart the replica named.",
+    do="Nothing: the gateway resumes from its position. If it lasts, restart the replica named.",
 ):  # fmt: skip
-    """A change is missing in what a control replica sent; nothing after it was taken."""
+    """A change is missing from the stream of a control replica; nothing after it was applied."""
 
 
 class ReplicaBehindError(
     ControlError, code="SR-CONTROL-BEHIND",
-    do="Nothing, while it passes: another replica is asked. If it lasts, see `stackrouter control status` of"
-    " the replica: it does not reach the others.",
+    do="Nothing if it is temporary: another replica is tried. If it lasts, see `stackrouter control status`"
+    " of the replica: it cannot reach the others.",
 ):  # fmt: skip
-    """A control replica has an older state than the gateway, which never goes back."""
+    """A control replica's state is older than the gateway's, which never returns to an older state."""
 
 
 class ReplicaSilentError(
     ControlError, code="SR-CONTROL-SILENT",
-    do="See whether the replica runs and reaches a majority of the voters; another one is asked.",
+    do="Check whether the replica runs and reaches a majority of the voters; another one is tried.",
 ):  # fmt: skip
     """A control replica did not answer in time."""
 
 
 class ReplicaRejectedError(
     ControlError, code="SR-CONTROL-REJECTED",
-    do="See the reason in the line, and `stackrouter control status` of the replica; another one is asked.",
+    do="See the reason in the line, and `stackrouter control status` of the replica; another one is tried.",
 ):  # fmt: skip
-    """A control replica ended the connection and said why."""
+    """A control replica closed the connection and gave a reason."""
 
 
 # --- traces and the command line
@@ -517,41 +532,39 @@
 class TraceReadError(
     TraceError,
     code="SR-TRACE-READ",
-    do="See that the path is right and that the file was made by `trace` of a gateway.",
+    do="Check that the path is right and that the file was written by `trace` of a gateway.",
 ):
-    """A file cannot be opened or is no trace: no whole block is in it."""
+    """A file cannot be opened or is not a trace: it has no complete block."""
 
 
 class TraceWriteError(
     TraceError,
     code="SR-TRACE-WRITE",
-    do="Make room on the disk or lower trace.most_mb; the gateway serves on without.",
+    do="Free disk space or lower trace.most_mb; the gateway continues without the trace.",
 ):
-    """Facts could not be written to the trace and are counted as left out."""
+    """Facts could not be written to the trace; they are counted as left out."""
 
 
 class LeftOutError(
     TraceError,
     code="SR-TRACE-LEFT-OUT",
-    do="Read reports over this time with care; see whether the disk keeps up.",
+    do="Treat reports on this period with care; check whether the disk is fast enough.",
 ):
-    """Some facts are not in the trace."""
+    """Some facts are missing from the trace."""
 
 
 class InputError(StackrouterError):
-    """What was given to a command cannot be used: exit code 2."""
+    """The input of a command is invalid: exit code 2."""
 
 
-class OptionError(
-    InputError, code="SR-INPUT-OPTION", do="See the command's --help for what the option takes."
-):
-    """An option has a value that it does not take."""
+class OptionError(InputError, code="SR-INPUT-OPTION", do="See the command's --help for the valid values."):
+    """An option has an invalid value."""
 
 
 class OutputError(
     InputError,
     code="SR-INPUT-OUTPUT",
-    do="Name a path that can be written to and is none of the files to read.",
+    do="Name a writable path that is not one of the input files.",
 ):
     """A file cannot be written."""
 
@@ -559,37 +572,39 @@
 class CapacityFileError(
     InputError,
     code="SR-INPUT-CAPACITY",
-    do="Make it anew with `stackrouter bench capacity` or `stackrouter fleet scale`.",
+    do="Generate it again with `stackrouter bench capacity` or `stackrouter fleet scale`.",
 ):
-    """A file under docs/capacity cannot be read, or a key of it holds what it may not."""
+    """A file under docs/capacity cannot be read or has an invalid value."""
 
 
 class MeasureError(
     InputError,
     code="SR-INPUT-MEASURE",
-    do="Run it again while nothing else is busy; `--only NAME` runs one measurement by itself.",
+    do="Run it again on an idle machine; `--only NAME` runs a single measurement.",
 ):
-    """A measurement of `stackrouter bench capacity` ended without its figures, so nothing was written."""
+    """A measurement of `stackrouter bench capacity` ended without results, so nothing was written."""
 
 
 class MixedTracesError(
-    InputError, code="SR-INPUT-TRACES", do="Report on traces of one deployment at a time."
+    InputError, code="SR-INPUT-TRACES", do="Report on the traces of one deployment at a time."
 ):
-    """The traces given do not belong together."""
+    """The traces given come from different deployments."""
 
 
 class DoorUnreachableError(
-    InputError, code="SR-INPUT-DOOR", do="See that --door (or GW_ADMIN) is the address of a member that runs."
+    InputError,
+    code="SR-INPUT-DOOR",
+    do="Check that --door (or GW_ADMIN) is the admin address of a running member.",
 ):
-    """A member's door cannot be reached, or does not answer as one."""
+    """A member's admin port is unreachable or gave an invalid answer."""
 
 
 class DoorSaidNoError(
     InputError,
     code="SR-INPUT-REFUSED",
-    do="Look up the code that the member answered with: `stackrouter explain CODE`.",
+    do="Look up the code in the member's answer with `stackrouter explain CODE`.",
 ):
-    """A member's door was reached and did not do what was asked."""
+    """A member refused a call on its admin port."""
 
 
 class CodeError(InputError, code="SR-INPUT-CODE", do="Run `stackrouter explain` for a list of all codes."):
@@ -598,52 +613,55 @@
 
 class ScaleLimitError(
     InputError, code="SR-SCALE-LIMIT",
-    do="Change what the line names, on the machine or on the command line, and run it again.",
+    do="Raise the limit named on the machine, or change the size on the command line, and run it again.",
 ):  # fmt: skip
-    """This machine does not bear a scale run of the size asked for; nothing was started."""
+    """This machine's limits do not allow a scale run of the requested size; nothing was started."""
 
 
 class LimitLogError(
     StackrouterError, code="SR-LIMITS-LOG",
-    do="See that $TMPDIR is a folder that both processes of the gateway share, can write to and has room."
-    " Limits hold meanwhile: until one process is left each keeps to an even part of them.",
+    do="Check that $TMPDIR is a directory with free space that all processes of the gateway share and can"
+    " write to. Limits still hold: until only one process is left, each process keeps to an even part of"
+    " them.",
 ):  # fmt: skip
-    """The log through which the processes of one gateway share its limits at an upgrade cannot be used."""
+    """The log with which the processes of a gateway share its limits during an upgrade cannot be used."""
 
 
 class ProcessesUncountedError(
     StackrouterError, code="SR-LIMITS-PROCESSES",
-    do="See that the system allows record locks on the inherited listening socket, and that at most eight"
-    " processes of this gateway run. Until its restart this one keeps to a third of each limit.",
+    do="Check that the system allows record locks on the inherited listening socket, and that at most eight"
+    " processes of this gateway run. Until it is restarted, this one keeps to a third of each limit.",
 ):  # fmt: skip
-    """The other processes of this gateway cannot be counted, so that its limits are split as among three."""
+    """The other processes of this gateway cannot be counted; its limits are split as if there were three."""
 
 
 class RuleBrokenError(
     StackrouterError, code="SR-RULE-BROKEN",
-    do="Follow the request by its id through the log lines of this gateway, and report it with them and the"
-    " counters of SIGUSR1: a rule of the protocol was broken, whatever the cause.",
+    do="Find the log lines of the request by its id, and report them together with the counters that SIGUSR1"
+    " prints: a rule of the protocol was broken, whatever the cause.",
 ):  # fmt: skip
-    """A check after the fact found that something was sent or answered which the rules do not allow."""
+    """A check after the fact found that something was sent or answered against the rules."""
 
 
 class StartError(
-    StackrouterError, code="SR-STANDIN-START", do="Look at the line quoted: it is the process's own last one."
+    StackrouterError,
+    code="SR-STANDIN-START",
+    do="See the line quoted, which is the last line that the process printed.",
 ):
     """A process of a demo or a fault harness did not start."""
 
 
 def page() -> str:
-    """docs/operators/errors.md, whole."""
+    """The text of docs/operators/errors.md."""
     rows = [f"| `{code}` | {cls.means()} | {cls.do} |" for code, cls in sorted(TABLE.items())]
     return "\n".join([
         "# Errors",
         "",
-        "Made by `stackrouter explain --page` from the types in `stackrouter/errors.py`, not by hand.",
+        "Generated by `stackrouter explain --page` from the types in `stackrouter/errors.py`; do not edit.",
         "",
-        "Every error that reaches a log line, an exit, the door or the command line begins with its code. At",
-        "an exit and on the command line its line ends with what can be done; elsewhere",
-        "`stackrouter explain CODE` says it. Codes are kept from version to version.",
+        "Every error in a log line, at an exit, on the admin port or on the command line begins with its",
+        "code. At an exit and on the command line the line ends with what to do; elsewhere use",
+        "`stackrouter explain CODE`. Codes do not change between versions.",
         "",
         "| code | what it means | what to do |",
         "| --- | --- | --- |",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Property tests draw the same examples in every run: CI's verdict must not hang on luck.
+"""Property tests use the same examples in every run, so that the result of CI does not depend on chance.
 
-Tests listed in KNOWN-RED.txt (see tests.known_red) have to fail, and are printed at the end.
+Tests listed in KNOWN-RED.txt (see tests.known_red) are expected to fail; the list is printed at the end.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
         reds = known_red.read(known_red.FILE.read_text())
         if (
             config.args_source is not pytest.Config.ArgsSource.ARGS
-        ):  # a run of some tests cannot say what there is
+        ):  # a run of selected tests does not collect all of them
             known_red.check_known(reds, [item.nodeid for item in items])
     except known_red.KnownRedError as error:
         raise pytest.UsageError(str(error)) from None
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -1,7 +1,7 @@
-"""What comes between two lines: each crossing of a close, an answer or a list is forced, not awaited.
+"""Helpers for tests that force a race between two steps of the code instead of hoping for it to happen.
 
-A gate stands at a named point of the real code; what is to come in between is sent while it is held, and has
-arrived (a condition waited on) before it is let go.
+A test blocks the real code at a given point, sends the event that is to come in between (a close, an answer,
+a list), waits for a condition that shows its arrival, and then releases the code.
 """
 
 from __future__ import annotations
@@ -10,11 +10,12 @@
 
 import gevent
 
-TIMES = 50  # each crossing, without a miss
+TIMES = 50  # repetitions of each race; every one must pass
 PATIENCE_S = 5.0
 
 
 def wait_until(holds: Callable[[], bool], what: str = "") -> None:
-    with gevent.Timeout(PATIENCE_S, AssertionError(f"never came: {what}")):
+    """Waits for a condition; AssertionError after PATIENCE_S. `what`: the condition in words."""
+    with gevent.Timeout(PATIENCE_S, AssertionError(f"condition not met in time: {what}")):
         while not holds():
             gevent.sleep(0.001)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which could not be mended yet, a line each:
+"""KNOWN-RED.txt: tests that fail because of a real fault that is not fixed yet, one per line:
 
     TEST-ID | COMMAND AND SEED | WHAT WAS SEEN | issue N
 
-At most three. Just these are expected to fail: one that passes fails the run until its line goes, and so do a
-fourth line, an unknown test, or a line without command, observation or issue.
+At most three lines. Only these tests are expected to fail. The run fails if a listed test passes, if there is
+a fourth line or an unknown test, or if a line lacks its command, observation or issue.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Red:
-    """One entry. `command`: what shows the failure, with its seed; `seen`: what was observed."""
+    """One entry. `command`: reproduces the failure, with its seed; `seen`: the failure that was observed."""
 
     test: str
     command: str
@@ -31,10 +31,11 @@
 
 
 class KnownRedError(Exception):
-    """KNOWN-RED.txt cannot be used."""
+    """KNOWN-RED.txt is invalid."""
 
 
 def read(text: str) -> list[Red]:
+    """Parses the content of KNOWN-RED.txt. Raises KnownRedError."""
     lines = [line for line in text.splitlines() if line.strip()]
     if len(lines) > MOST:
         raise KnownRedError(f"KNOWN-RED.txt: {len(lines)} lines, {MOST} at most: mend the others first")
@@ -48,6 +49,7 @@
 
 
 def check_known(reds: Sequence[Red], tests: Sequence[str]) -> None:
+    """Raises KnownRedError if an entry's test is not among `tests`."""
     for red in reds:
         if red.test not in tests:
             raise KnownRedError(f"KNOWN-RED.txt: no such test: {red.test}")
