--- a/stackrouter/__main__.py
+++ b/stackrouter/__main__.py
@@ -55,7 +55,7 @@
 SFTP_SOCKET_DIVISOR = 4  # one in 4 client sockets is reserved for the SFTP front, if it is enabled
 DEFAULT_TMP_DIR = "/tmp"  # if TMPDIR is not set
 EXIT_CONFIG = 2
-GC_THRESHOLD = 10_000  # objects between collections: few objects are in cycles, and a collection takes time
+GC_THRESHOLD = 10_000  # allocations between collections: cycles are rare, and each collection takes CPU time
 
 logger = logging.getLogger(__name__)
 
--- a/stackrouter/config.py
+++ b/stackrouter/config.py
@@ -52,7 +52,7 @@
     keepalive_us: int
     client_sockets: int
     node_sockets: int
-    listen_fd: int | None = None  # the inherited client listener, held open by the platform at an upgrade
+    listen_fd: int | None = None  # inherited listening socket for clients, kept by the platform at upgrades
     admin: tuple[str, int] | None = None  # address of the admin port
     writes_stated: bool = True  # FamilyInfo.ClassWrites has a flag for each class of Profiles
 
--- a/stackrouter/core/engine.py
+++ b/stackrouter/core/engine.py
@@ -374,8 +374,8 @@
         if attempt.live:
             if self.transport:
                 self.transport.give_up(attempt)
-            # No effective step was written whole, so the node never got the request, and the timeout says
-            # nothing about the node: it must not count against it.
+            # No effective step was written whole: the node never got the request, so the timeout is not
+            # evidence about the node.
             never_ran = outcome is Outcome.TIMEOUT and not attempt.may_have_run
             self._ended(attempt, Reply(Outcome.MOOT if never_ran else outcome))
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -30,7 +30,7 @@
     "net/node_socket.py": "attempts at nodes, behind the gate",
     "net/client_socket.py": "clients, behind the gate",
     "net/list_call.py": "calls to discovery",
-    "net/admin.py": "the operators' door",
+    "net/admin.py": "the admin port",
     "net/door.py": "listening sockets",
     "net/listener.py": "accepts, and passes accepted sockets to a ClientSocket",
     "net/ring.py": "reads and writes for the modules above",
@@ -162,8 +162,8 @@
     def test_the_wait_stated_to_a_node_never_exceeds_the_time_left(self, now: int) -> None:
         request = make_request()
         attempt = make_attempt(request)
-        told = self.gate.wait_told_us(replace(attempt, deadline_us=attempt.deadline_us + S), now)
-        self.assertLessEqual(told, max(0, request.deadline_us - now))
+        stated_us = self.gate.wait_told_us(replace(attempt, deadline_us=attempt.deadline_us + S), now)
+        self.assertLessEqual(stated_us, max(0, request.deadline_us - now))
 
     def test_a_client_with_an_owed_answer_or_unread_bytes_is_not_closed(self) -> None:
         for owed in (False, True):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -26,22 +26,22 @@
 import os, signal, sys
 import stackrouter.__main__ as program
 step, when, names = sys.argv[1:4]
-def tell():
+def send_signals():
     for name in names.split("+"):
         os.kill(os.getpid(), getattr(signal, name))
 real = getattr(program, step)
-def gated(*args, **kwargs):
+def wrapped(*args, **kwargs):
     if when == "before":
-        tell()
+        send_signals()
     done = real(*args, **kwargs)
-    if when == "behind":
+    if when == "after":
         if "SIGHUP" in names:  # the file has changed by now
             path = os.environ["GW_CONFIG"]
             text = open(path).read().replace(os.environ["OLD"], os.environ["NEW"])
             open(path, "w").write(text)
-        tell()
+        send_signals()
     return done
-setattr(program, step, gated)
+setattr(program, step, wrapped)
 sys.exit(program.main())
 """
 
@@ -82,7 +82,7 @@
 
     def test_a_stop_signal_during_the_start_is_handled_after_it(self) -> None:
         """Guards against the signal killing the process, and with it the client connections made so far."""
-        for step, when in (("load", "before"), ("load", "behind"), ("Gateway", "behind")):
+        for step, when in (("load", "before"), ("load", "after"), ("Gateway", "after")):
             for names in ("SIGTERM", "SIGTERM+SIGTERM", "SIGHUP+SIGTERM", "SIGINT"):
                 with self.subTest(step=step, when=when, names=names):
                     program = self.start("-c", SELF_SIGNALLING_PROGRAM, step, when, names)
@@ -96,7 +96,7 @@
         discovery at the old address."""
         for step in ("load", "Gateway"):
             with self.subTest(step):
-                program = self.start("-c", SELF_SIGNALLING_PROGRAM, step, "behind", "SIGHUP")
+                program = self.start("-c", SELF_SIGNALLING_PROGRAM, step, "after", "SIGHUP")
                 self.wait_for_pong()
                 program.send_signal(signal.SIGTERM)
                 _, stderr = program.communicate(timeout=PATIENCE_S)
