--- a/stackrouter/core/engine.py
+++ b/stackrouter/core/engine.py
@@ -332,7 +332,7 @@
         request, served = attempt.request, reply.outcome is Outcome.DONE
         attempt.live = False
         cancel_timer(attempt.timeout)
-        del request.in_flight[attempt.number]
+        del request.out[attempt.number]
         if attempt.may_have_run and reply.outcome is not Outcome.FULL:
             request.first_run_us = (
                 attempt.sent_us
@@ -379,25 +379,25 @@
             never_ran = outcome is Outcome.TIMEOUT and not attempt.may_have_run
             self._ended(attempt, Reply(Outcome.MOOT if never_ran else outcome))
 
-    def _answer(self, request: Request, result: Result) -> None:
-        if request.answered:
+    def _answer(self, open_request: Request, result: Result) -> None:
+        if open_request.answered:
             return
-        request.answered = True
+        open_request.answered = True
         self.counters.add(f"requests.{result.verdict.value}")
-        self.violations.answered(request, self._now)
+        self.violations.answered(open_request, self._now)
         if result.verdict is Verdict.FAILED:
             log.info(
                 "request %s failed: %s",
-                request.trace_id or request.id,
-                "; ".join(request.attempt_log) or "no attempt has ended",
+                open_request.trace_id or open_request.id,
+                "; ".join(open_request.attempt_log) or "no attempt has ended",
             )
         if self.tap is not None:
-            self.tap(facts.Answered(self._now, int(request.id), result.verdict, result.pause_us))
-        request.answer(result)
-        self._forget(request)
+            self.tap(facts.Answered(self._now, int(open_request.id), result.verdict, result.pause_us))
+        open_request.answer(result)
+        self._forget(open_request)
 
     def _forget(self, request: Request) -> None:
-        if request.answered and not request.in_flight:
+        if request.answered and not request.out:
             cancel_timer(request.backstop)
             self.requests.pop(request.id, None)
 
@@ -418,7 +418,7 @@
                 if request := self.requests.get(request_id):
                     self._answer(request, Result(Verdict.FAILED))
             case Cancel(request_id, number):
-                if (request := self.requests.get(request_id)) and (attempt := request.in_flight.get(number)):
+                if (request := self.requests.get(request_id)) and (attempt := request.out.get(number)):
                     self._give_up(attempt, Outcome.CANCELLED)
             case Disconnect(name):
                 if self.transport:
@@ -454,7 +454,7 @@
             self._events.append(Answer(request.id, number, name, Outcome.MOOT, request.answered))
             return
         deadline_us = min(request.deadline_us, self._now + timeout_us) if timeout_us else request.deadline_us
-        attempt = request.in_flight[number] = Attempt(request, number, node, self._now, deadline_us)
+        attempt = request.out[number] = Attempt(request, number, node, self._now, deadline_us)
         self.counters.add("attempts.started")
         if self.tap is not None:
             self.tap(facts.Sent(self._now, int(request.id), number, name, timeout_us))
--- a/stackrouter/core/gate.py
+++ b/stackrouter/core/gate.py
@@ -96,7 +96,7 @@
         idempotency key."""
         if request.repeat_window_us is None:
             return None
-        started_us = [attempt.sent_us for attempt in request.in_flight.values() if attempt.may_have_run]
+        started_us = [attempt.sent_us for attempt in request.out.values() if attempt.may_have_run]
         if request.first_run_us is not None:
             started_us.append(request.first_run_us)
         if not started_us or now_us < min(started_us) + request.repeat_window_us:
--- a/stackrouter/core/model.py
+++ b/stackrouter/core/model.py
@@ -108,7 +108,7 @@
     charge: object = None  # the reservation of its units in a limit shared by processes
     id: str = ""
     attempts: int = 0
-    in_flight: dict[int, Attempt] = field(default_factory=dict)
+    out: dict[int, Attempt] = field(default_factory=dict)  # attempts in flight, by number
     answered: bool = False
     client_gone_us: int | None = None  # when its client disconnected without waiting for the answer
     backstop: Timer | None = None
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -91,7 +91,7 @@
 
 def make_attempt(request: Request, state: NodeState = NodeState.READY, sent_us: int = 0) -> Attempt:
     made = Attempt(request, request.attempts, Node("n", ADDRESS, 0, state), sent_us, request.deadline_us)
-    request.in_flight[request.attempts] = made
+    request.out[request.attempts] = made
     request.attempts += 1
     return made
 
@@ -141,7 +141,7 @@
         self.assertIsNone(self.gate.may_repeat(request, now), "nothing has run")
         if ended:
             request.first_run_us = first.sent_us
-            del request.in_flight[0]
+            del request.out[0]
         else:
             first.may_have_run = True
         self.assertEqual(self.gate.may_repeat(request, now) is None, now < window)
