--- a/stackrouter/errors.py
+++ b/stackrouter/errors.py
@@ -277,7 +277,7 @@
     do="Check whether the agent runs. Until then the gateway does not learn of changes: drain no nodes"
     " until the counter discovery.answers increases again.",
 ):  # fmt: skip
-    """A call to discovery timed out; the next call asks for the whole list."""
+    """A call to discovery was not answered in time; the next call asks for the whole list."""
 
 
 class UnreachableError(
