--- a/stackrouter/sharing/__init__.py
+++ b/stackrouter/sharing/__init__.py
@@ -1,6 +1,6 @@
-"""What one gateway may send under its limits while several of its processes run, as at an upgrade.
+"""Shares one gateway's limits among its processes while several of them run, for example during an upgrade.
 
-`records` and `account` are the log's records and what follows from them, `mode` the decision how the right
-is held, `buckets` what the decision module asks. `presence` and `log_file` are the only modules with I/O.
-Imported where a listening socket is inherited, and nowhere else.
+`records` defines the records of the shared log and `account` replays them into token buckets. `mode` decides
+how the processes share the limits, and `buckets` provides the token buckets for the decision module. Only
+`presence` and `log_file` do I/O. Imported only where the listening socket is inherited.
 """
--- a/stackrouter/sharing/log_file.py
+++ b/stackrouter/sharing/log_file.py
@@ -1,7 +1,7 @@
-"""The file in $TMPDIR that the processes of a gateway append to and read. No call here waits for a process.
+"""The file in $TMPDIR that the processes of a gateway append to and read. No call waits for another process.
 
-The system puts appended pieces in one order for all who read (O_APPEND). Nothing is synced: the file has to
-outlive processes, not the machine.
+O_APPEND gives all readers the appended data in the same order. The file is never synced: it has to outlive
+the processes, not a crash of the machine.
 """
 
 from __future__ import annotations
@@ -13,38 +13,38 @@
 
 from stackrouter.errors import LimitLogError
 
-MOST_BYTES: Final = 768 * 1024  # some minutes of two busy processes; past it each keeps to an even part
-_MODE: Final = 0o600
-_FLAGS: Final = os.O_RDWR | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK
+MAX_LOG_BYTES: Final = 768 * 1024  # some minutes of two busy processes; above it, limits are split evenly
+_PERMISSIONS: Final = 0o600
+_OPEN_FLAGS: Final = os.O_RDWR | os.O_APPEND | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK
 _ID_BITS: Final = 32
 
 
 class LogFile(Protocol):
-    """LimitLogError from each call: the log cannot be used."""
+    """A shared append-only log. Every call raises LimitLogError if the log cannot be used."""
 
     def open(self) -> int:
-        """The file's identity: alike in all processes that have opened the same file."""
+        """Open the file. Returns its id, which is the same in all processes that open the same file."""
 
     def append(self, data: bytes) -> None:
-        """Whole, behind all that others have appended."""
+        """Append all of the data, behind what other processes have appended."""
 
     def read_new(self) -> bytes:
-        """What stands behind what was read before."""
+        """The data that follows what was read before."""
 
     def rewind(self) -> None:
-        """Read from the start again."""
+        """Make the next read begin at the start of the file."""
 
-    def empty(self) -> None:
-        """Cut the file to nothing: what stands there says nothing any more."""
+    def truncate(self) -> None:
+        """Truncate the file to zero bytes: its records are no longer valid."""
 
 
 class SharedFile:
-    """The log of one gateway, by its name, in a folder that its processes share."""
+    """The log of one gateway in a directory that its processes share; its name comes from the gateway's."""
 
-    def __init__(self, folder: str, gateway: str, listening: int) -> None:
-        """`gateway`: its name; `listening`: the descriptor of the socket that its processes share."""
-        named = f"{gateway} {os.fstat(listening).st_ino}"
-        self._folder, self._name = folder, f"stackrouter-limits-{zlib.crc32(named.encode()):08x}.log"
+    def __init__(self, folder: str, gateway: str, listen_fd: int) -> None:
+        """`gateway`: the gateway's name; `listen_fd`: descriptor of the listening socket that they share."""
+        identity = f"{gateway} {os.fstat(listen_fd).st_ino}"
+        self._folder, self._name = folder, f"stackrouter-limits-{zlib.crc32(identity.encode()):08x}.log"
         self._descriptor = -1
         self._offset = 0
 
@@ -52,7 +52,7 @@
         self.close()
         path = os.path.join(self._folder, self._name)
         try:
-            self._descriptor = os.open(path, _FLAGS, _MODE)
+            self._descriptor = os.open(path, _OPEN_FLAGS, _PERMISSIONS)
             status = os.fstat(self._descriptor)
         except OSError as error:
             raise LimitLogError(error.strerror, file=path) from None
@@ -67,7 +67,7 @@
         except OSError as error:
             raise LimitLogError(f"write: {error.strerror}", file=self._name) from None
         if written != len(data):
-            raise LimitLogError(f"{written} of {len(data)} bytes were written", file=self._name)
+            raise LimitLogError(f"only {written} of {len(data)} bytes were written", file=self._name)
 
     def read_new(self) -> bytes:
         try:
@@ -75,9 +75,9 @@
             if not status.st_nlink:
                 raise LimitLogError("was removed", file=self._name)
             if status.st_size < self._offset:
-                raise LimitLogError("was cut", file=self._name)
-            if status.st_size > MOST_BYTES:
-                raise LimitLogError(f"is over {MOST_BYTES} bytes", file=self._name)
+                raise LimitLogError("was truncated", file=self._name)
+            if status.st_size > MAX_LOG_BYTES:
+                raise LimitLogError(f"is larger than {MAX_LOG_BYTES} bytes", file=self._name)
             data = os.pread(self._descriptor, status.st_size - self._offset, self._offset)
         except OSError as error:
             raise LimitLogError(f"read: {error.strerror}", file=self._name) from None
@@ -87,14 +87,14 @@
     def rewind(self) -> None:
         self._offset = 0
 
-    def empty(self) -> None:
+    def truncate(self) -> None:
         try:
             if os.fstat(self._descriptor).st_size:
                 os.ftruncate(self._descriptor, 0)
             if not os.fstat(self._descriptor).st_nlink:
                 raise LimitLogError("was removed", file=self._name)
         except OSError as error:
-            raise LimitLogError(f"cut: {error.strerror}", file=self._name) from None
+            raise LimitLogError(f"truncate: {error.strerror}", file=self._name) from None
         self._offset = 0
 
     def close(self) -> None:
--- a/stackrouter/sharing/mode.py
+++ b/stackrouter/sharing/mode.py
@@ -1,4 +1,4 @@
-"""How a gateway's right to its limits is held now: alone, through the shared log, or in even parts. Pure."""
+"""Decides how the processes of a gateway share its limits: one alone, through a log, or evenly. No I/O."""
 
 from __future__ import annotations
 
@@ -6,54 +6,55 @@
 from dataclasses import dataclass
 from typing import Final
 
-LOOK_US: Final = 20_000  # a decision rests on a look at the other processes that is no older than this
-IDLE_LOOK_US: Final = 50_000  # ... and where nothing is decided, the next look comes after this
-# A process that has just come spends nothing before all others have looked again: their decisions rest on
-# looks of up to LOOK_US, the rest is for clocks read before a look.
-NOTICE_US: Final = 60_000
-# An attempt may reach its node so long after its units were claimed. The protocol's slack holds what a limit
-# allows in 150 ms; the rest of it is for a process that is held between its clock and its write.
-CHARGE_US: Final = 100_000
-# Where the processes cannot be counted: as many as there are at two upgrades in a row.
-MOST_SHARERS: Final = 3
+SCAN_MAX_AGE_US: Final = 20_000  # maximum age of the scan for other processes on which a decision is based
+IDLE_LOOK_US: Final = 50_000  # interval between scans while the process decides nothing
+# A process that has just joined spends nothing until all others have scanned again. They decide on scans up
+# to SCAN_MAX_AGE_US old; the remaining time covers clocks that were read before the scan.
+JOIN_DELAY_US: Final = 60_000
+# Maximum time between the claim of units and the write of the attempt to its node. The protocol's slack
+# allows for what a limit permits in 150 ms; the rest of it covers a process that is suspended between reading
+# its clock and its write.
+CHARGE_MAX_AGE_US: Final = 100_000
+# Assumed number of processes where they cannot be counted: two upgrades in a row run as many at once.
+MAX_SHARERS: Final = 3
 
 
 class Mode(enum.Enum):
-    """How the right is held."""
+    """How the processes of a gateway share its limits."""
 
-    ALONE = "alone"  # by this process
-    SHARED = "shared"  # through the log: each spends by claims that all see in one order
-    SPLIT = "split"  # an even part for each process: not all of them can use one log
+    ALONE = "alone"  # this process is the only one and has all of the gateway's limits
+    SHARED = "shared"  # each process spends by claims in a log, which all read in the same order
+    SPLIT = "split"  # each process has an even part, since not all of them can use the same log
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """A look at the other processes of this gateway.
+class ProcessView:
+    """Result of a scan for the other processes of this gateway.
 
-    `place`: this process's own; `others`: the places that they hold; `share`: all of them use this process's
-    log; `counted`: False where the system does not tell.
+    `slot`: this process's slot; `others`: the slots of the other processes; `same_log`: all of them use this
+    process's log; `countable`: False where the operating system cannot tell which processes run.
     """
 
-    place: int
+    slot: int
     others: tuple[int, ...] = ()
-    share: bool = True
-    counted: bool = True
+    same_log: bool = True
+    countable: bool = True
 
     @property
     def sharers(self) -> int:
-        """Processes of the gateway, this one counted."""
-        return len(self.others) + 1 if self.counted else MOST_SHARERS
+        """Number of processes of the gateway, including this one."""
+        return len(self.others) + 1 if self.countable else MAX_SHARERS
 
     @property
     def rank(self) -> int:
-        """This process's number among them, from 0."""
-        return sum(other < self.place for other in self.others)
+        """Index of this process among them, in the order of slots, from 0."""
+        return sum(other < self.slot for other in self.others)
 
 
-def mode_for(seen: Seen, log_usable: bool) -> Mode:
-    """`log_usable`: this process can use the log, and says so to the others."""
-    if not seen.counted:
+def mode_for(view: ProcessView, log_usable: bool) -> Mode:
+    """The mode that follows from a scan. `log_usable`: this process can use the log and has announced so."""
+    if not view.countable:
         return Mode.SPLIT
-    if not seen.others:
+    if not view.others:
         return Mode.ALONE
-    return Mode.SHARED if log_usable and seen.share else Mode.SPLIT
+    return Mode.SHARED if log_usable and view.same_log else Mode.SPLIT
--- a/stackrouter/sharing/presence.py
+++ b/stackrouter/sharing/presence.py
@@ -1,9 +1,9 @@
-"""Which processes of the gateway live: record locks on the listening socket that all of them inherit.
+"""Detects which processes of the gateway run, by record locks on the listening socket that all inherit.
 
-The kernel drops a process's locks when it ends, however it ends, and keeps them while it is stopped. Nothing
-here waits: a lock that another holds is told at once. The locks belong to the socket, so that they do not
-depend on a folder. They are lost when the process closes any descriptor of that socket: an inherited
-listening socket stays open until the process ends (net.listener).
+The kernel releases a process's locks when it ends for any reason, and keeps them while it is stopped. No call
+here blocks: a lock that another process holds is reported at once. The locks belong to the socket, so they
+depend on no directory. A process loses them when it closes any descriptor of that socket; therefore an
+inherited listening socket stays open until the process ends (net.listener).
 """
 
 from __future__ import annotations
@@ -13,106 +13,113 @@
 import struct
 from typing import Final, Protocol
 
-from stackrouter.sharing.mode import Seen
+from stackrouter.sharing.mode import ProcessView
 
-PLACES: Final = 8  # processes of one gateway at the same time, at most
-_RESERVED_AT: Final = 1 << 40  # a byte each: taken first, so that no two processes get one place
-_PRESENT_AT: Final = _RESERVED_AT + PLACES  # a byte each: the process at this place counts
-_SHARES_AT: Final = 1 << 41  # PLACES bytes for each log: the process at this place uses that log
-_COUNTS_AT: Final = 1 << 50  # a span each: its locked length is a number that the process makes known
-_MOST_COUNT: Final = 1 << 20
-_LOCK: Final = struct.Struct("hhqqi4x")  # struct flock: type, whence, start, length, process
+MAX_PROCESSES: Final = 8  # of one gateway at the same time, one slot each
+# Offsets of the locks:
+_RESERVED_OFFSET: Final = 1 << 40  # one byte per slot, locked first: no two processes get the same slot
+_PRESENT_OFFSET: Final = _RESERVED_OFFSET + MAX_PROCESSES  # one byte per slot: its process is present
+_LOGS_OFFSET: Final = 1 << 41  # MAX_PROCESSES bytes per log: the process in this slot uses that log
+_COUNTS_OFFSET: Final = 1 << 50  # one range per kind and slot: its locked length is the published count
+_MAX_COUNT: Final = 1 << 20
+_FLOCK: Final = struct.Struct("hhqqi4x")  # struct flock: type, whence, start, length, pid
 
 
 class Presence(Protocol):
-    """OSError: the system does not tell."""
+    """Registry of the processes of one gateway. Raises OSError where the system does not support it."""
 
     def join(self, log_id: int | None) -> None:
-        """From here on the others see this process. `log_id`: the log that it uses, None: it uses none."""
+        """Make this process visible to the others. `log_id`: the log that it uses, or None."""
 
-    def use(self, log_id: int | None) -> None:
-        """The log that this process uses from here on."""
+    def use_log(self, log_id: int | None) -> None:
+        """Announce the log that this process uses from now on, or None."""
 
-    def look(self) -> Seen: ...
+    def scan(self) -> ProcessView:
+        """The other processes that are present now."""
+        ...
 
 
 class SocketPresence:
-    """Locks on an inherited listening socket. OSError: none can be had there, or all places are taken."""
+    """Locks on an inherited listening socket. Raises OSError where it has no locks or no slot is free."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._place = -1
+        self._slot = -1
         self._log_id: int | None = None
 
     def join(self, log_id: int | None) -> None:
-        self._place = self._reserve()
-        # The log first: whoever sees this process present has to see also which log it uses.
-        self.use(log_id)
-        self._lock(_PRESENT_AT + self._place)
+        self._slot = self._reserve_slot()
+        # The log is announced first: processes that see this one present must also see its log.
+        self.use_log(log_id)
+        self._lock(_PRESENT_OFFSET + self._slot)
 
-    def use(self, log_id: int | None) -> None:
+    def use_log(self, log_id: int | None) -> None:
         if log_id == self._log_id:
             return
         if log_id is not None:
-            self._lock(_shares_at(log_id, self._place))
+            self._lock(_log_offset(log_id, self._slot))
         if self._log_id is not None:
-            self._unlock(_shares_at(self._log_id, self._place))
+            self._unlock(_log_offset(self._log_id, self._slot))
         self._log_id = log_id
 
-    def look(self) -> Seen:
-        if not self._held(_PRESENT_AT, PLACES):
-            return Seen(self._place)
-        others = tuple(place for place in range(PLACES) if self._held(_PRESENT_AT + place))
+    def scan(self) -> ProcessView:
+        if not self._is_locked(_PRESENT_OFFSET, MAX_PROCESSES):
+            return ProcessView(self._slot)
+        others = tuple(slot for slot in range(MAX_PROCESSES) if self._is_locked(_PRESENT_OFFSET + slot))
         log_id = self._log_id
-        share = log_id is not None and all(self._held(_shares_at(log_id, place)) for place in others)
-        return Seen(self._place, others, share)
+        same_log = log_id is not None and all(self._is_locked(_log_offset(log_id, slot)) for slot in others)
+        return ProcessView(self._slot, others, same_log)
 
     def publish(self, kind: int, count: int) -> None:
-        """`room.Claims`: a lock as long as the number."""
-        at = self._counts_at(kind, self._place)
-        count = min(count, _MOST_COUNT - 1)
+        """See `room.SocketCounts`; the count is the length of a lock."""
+        offset = self._count_offset(kind, self._slot)
+        count = min(count, _MAX_COUNT - 1)
         if count:
-            self._lock(at, count)
-        # What is locked past it is let go only now: the others never see less than is held.
-        self._unlock(at + count, _MOST_COUNT - count)
+            self._lock(offset, count)
+        # The rest of an older, longer lock is released last: the others never see less than is held.
+        self._unlock(offset + count, _MAX_COUNT - count)
 
     def published(self, kind: int) -> int:
-        counts = (self._length_held(self._counts_at(kind, place)) for place in range(PLACES))
+        counts = (self._published_length(self._count_offset(kind, slot)) for slot in range(MAX_PROCESSES))
         return sum(counts)
 
     @staticmethod
-    def _counts_at(kind: int, place: int) -> int:
-        # Spans do not touch: the system joins neighbouring locks of a process.
-        return _COUNTS_AT + (kind * PLACES + place) * 2 * _MOST_COUNT
+    def _count_offset(kind: int, slot: int) -> int:
+        # The ranges leave gaps since the kernel merges adjacent locks of a process.
+        return _COUNTS_OFFSET + (kind * MAX_PROCESSES + slot) * 2 * _MAX_COUNT
 
-    def _length_held(self, at: int) -> int:
-        told = self._ask(at, _MOST_COUNT)
-        return int(told[3]) if told[0] != fcntl.F_UNLCK else 0
+    def _published_length(self, offset: int) -> int:
+        lock = self._query(offset, _MAX_COUNT)
+        return int(lock[3]) if lock[0] != fcntl.F_UNLCK else 0
 
-    def _reserve(self) -> int:
-        for place in range(PLACES):
+    def _reserve_slot(self) -> int:
+        for slot in range(MAX_PROCESSES):
             try:
-                self._lock(_RESERVED_AT + place)
+                self._lock(_RESERVED_OFFSET + slot)
             except (BlockingIOError, PermissionError):
                 continue
-            return place
-        raise OSError(f"{PLACES} processes of this gateway run already")
+            return slot
+        raise OSError(f"{MAX_PROCESSES} processes of this gateway are already running")
 
-    def _lock(self, at: int, length: int = 1) -> None:
-        fcntl.fcntl(self._descriptor, fcntl.F_SETLK, _LOCK.pack(fcntl.F_WRLCK, os.SEEK_SET, at, length, 0))
+    def _lock(self, offset: int, length: int = 1) -> None:
+        fcntl.fcntl(
+            self._descriptor, fcntl.F_SETLK, _FLOCK.pack(fcntl.F_WRLCK, os.SEEK_SET, offset, length, 0)
+        )
 
-    def _unlock(self, at: int, length: int = 1) -> None:
-        fcntl.fcntl(self._descriptor, fcntl.F_SETLK, _LOCK.pack(fcntl.F_UNLCK, os.SEEK_SET, at, length, 0))
+    def _unlock(self, offset: int, length: int = 1) -> None:
+        fcntl.fcntl(
+            self._descriptor, fcntl.F_SETLK, _FLOCK.pack(fcntl.F_UNLCK, os.SEEK_SET, offset, length, 0)
+        )
 
-    def _held(self, at: int, length: int = 1) -> bool:
-        """Whether another process holds a lock there."""
-        return bool(self._ask(at, length)[0] != fcntl.F_UNLCK)
+    def _is_locked(self, offset: int, length: int = 1) -> bool:
+        """Whether another process holds a lock in that range."""
+        return bool(self._query(offset, length)[0] != fcntl.F_UNLCK)
 
-    def _ask(self, at: int, length: int) -> tuple[int, ...]:
-        """Another process's lock in that span: its type (F_UNLCK: none), whence, start, length, process."""
-        asked = _LOCK.pack(fcntl.F_WRLCK, os.SEEK_SET, at, length, 0)
-        return _LOCK.unpack(fcntl.fcntl(self._descriptor, fcntl.F_GETLK, asked))
+    def _query(self, offset: int, length: int) -> tuple[int, ...]:
+        """Another process's lock in that range: type (F_UNLCK: none), whence, start, length, pid."""
+        query = _FLOCK.pack(fcntl.F_WRLCK, os.SEEK_SET, offset, length, 0)
+        return _FLOCK.unpack(fcntl.fcntl(self._descriptor, fcntl.F_GETLK, query))
 
 
-def _shares_at(log_id: int, place: int) -> int:
-    return _SHARES_AT + log_id * PLACES + place
+def _log_offset(log_id: int, slot: int) -> int:
+    return _LOGS_OFFSET + log_id * MAX_PROCESSES + slot
--- a/stackrouter/sharing/room.py
+++ b/stackrouter/sharing/room.py
@@ -1,65 +1,66 @@
-"""Descriptors that the processes of a gateway hold together: who may hold how many. Pure but for `Claims`.
+"""Divides the gateway's socket limits among its processes. No I/O except through `SocketCounts`.
 
-Each process makes known how many it may hold before it holds them, and only then looks at what the others
-have made known: so the sum never passes the gateway's number, whoever comes or is stopped in between.
+Each process publishes how many sockets it may open before it opens them, and reads the counts of the others
+only after that. The sum therefore never exceeds the gateway's limit, even if a process starts or is stopped
+in between.
 """
 
 from __future__ import annotations
 
 from typing import Final, Protocol
 
-from stackrouter.sharing.mode import MOST_SHARERS
+from stackrouter.sharing.mode import MAX_SHARERS
 
-CLIENTS: Final = 0  # kinds of descriptors
+CLIENTS: Final = 0  # kinds of sockets, by peer
 NODES: Final = 1
-HEADROOM_PART: Final = 4  # one in so many of all may be taken between two looks
+HEADROOM_DIVISOR: Final = 4  # a process may open total / HEADROOM_DIVISOR more sockets between two checks
 
 
-class Claims(Protocol):
-    """Numbers that processes make known to one another. OSError: the system does not tell."""
+class SocketCounts(Protocol):
+    """Counts that processes publish to each other. Raises OSError where the system does not support it."""
 
     def publish(self, kind: int, count: int) -> None:
-        """From here on this process may hold so many of the kind."""
+        """Announce that this process may hold up to `count` sockets of the kind from now on."""
 
     def published(self, kind: int) -> int:
-        """How many all others may hold."""
+        """Sum of the counts that all other processes have announced."""
 
 
-class SharedRoom:
-    """One kind of descriptors. Looked at often: a process grows by its headroom from look to look."""
+class SharedSocketLimit:
+    """One kind of sockets. To be called often: a process grows by at most its headroom between two calls."""
 
-    def __init__(self, claims: Claims, kind: int) -> None:
-        self._claims, self._kind = claims, kind
+    def __init__(self, counts: SocketCounts, kind: int) -> None:
+        self._counts, self._kind = counts, kind
         self._published = -1
 
-    def most(self, total: int, held: int) -> int:
-        """How many this process may hold now, of `total` for all; never fewer than the `held` ones."""
-        wanted = min(total, held + total // HEADROOM_PART)
+    def allowed(self, total: int, held: int) -> int:
+        """How many of the gateway's `total` this process may hold now; never fewer than the `held` ones."""
+        wanted = min(total, held + total // HEADROOM_DIVISOR)
         self._publish(wanted)
-        others = self._claims.published(self._kind)
+        others = self._counts.published(self._kind)
         if not others:
             return total
         if wanted + others <= total:
             return wanted
-        allowed = max(held, total - others)
-        self._publish(allowed)
-        return allowed
+        reduced = max(held, total - others)
+        self._publish(reduced)
+        return reduced
 
     def _publish(self, count: int) -> None:
         if count != self._published:
-            self._claims.publish(self._kind, count)
+            self._counts.publish(self._kind, count)
             self._published = count
 
 
 class ProcessRooms:
-    """Sockets of clients and of nodes. Where the system does not tell, each process keeps to a third."""
+    """Client and node sockets. Where processes cannot publish counts, each is limited to a third."""
 
-    def __init__(self, claims: Claims) -> None:
-        self._clients, self._nodes = SharedRoom(claims, CLIENTS), SharedRoom(claims, NODES)
+    def __init__(self, counts: SocketCounts) -> None:
+        self._clients, self._nodes = SharedSocketLimit(counts, CLIENTS), SharedSocketLimit(counts, NODES)
 
     def most(self, clients: tuple[int, int], nodes: tuple[int, int]) -> tuple[int, int]:
-        """For either: of how many, how many are held; how many this process may hold now."""
+        """How many of either kind this process may hold now. Each argument: gateway's limit, number held."""
         try:
-            return self._clients.most(*clients), self._nodes.most(*nodes)
+            return self._clients.allowed(*clients), self._nodes.allowed(*nodes)
         except OSError:
-            return clients[0] // MOST_SHARERS, nodes[0] // MOST_SHARERS
+            return clients[0] // MAX_SHARERS, nodes[0] // MAX_SHARERS
--- a/tests/test_limit_sharing.py
+++ b/tests/test_limit_sharing.py
@@ -1,8 +1,9 @@
-"""Any interleaving of a gateway's processes keeps a volume's limit: a model with every guard taken out once.
+"""Guards against exceeding a volume's limit in any interleaving of a gateway's processes.
 
-Processes run the real decisions (stackrouter.sharing) over a disk and locks kept in memory. Before each read,
-append, lock or send a process may be held while others run, stop, die or start: each step of one interleaves
-with whole turns of the others.
+A model runs the production code (stackrouter.sharing) on an in-memory disk and in-memory locks. Before each
+read, append, lock or send a process may be suspended while others run, stop, are killed or start, so each
+step of one process interleaves with whole turns of the others. To prove that the model detects faults, each
+safeguard is disabled once.
 """
 
 from __future__ import annotations
@@ -30,34 +31,34 @@
 from stackrouter.core.counters import Counters
 from stackrouter.errors import LimitLogError
 from stackrouter.sharing import buckets as sharing
-from stackrouter.sharing.account import SharedAccount
+from stackrouter.sharing.account import ReplayedBuckets
 from stackrouter.sharing.buckets import SharedBuckets
-from stackrouter.sharing.log_file import MOST_BYTES, SharedFile
-from stackrouter.sharing.mode import LOOK_US, NOTICE_US, Mode, Seen
+from stackrouter.sharing.log_file import MAX_LOG_BYTES, SharedFile
+from stackrouter.sharing.mode import JOIN_DELAY_US, SCAN_MAX_AGE_US, Mode, ProcessView
 from stackrouter.sharing.presence import SocketPresence
 from stackrouter.sharing.records import RECORD_BYTES, Record, RecordKind, RecordReader
-from stackrouter.sharing.room import CLIENTS, ProcessRooms, SharedRoom
+from stackrouter.sharing.room import CLIENTS, ProcessRooms, SharedSocketLimit
 from tests.exchange import ROOT
 
 MS, S = 1_000, 1_000_000
-# No tolerance: what is built needs none of it, and a guard that is out shows sooner.
+# No tolerance: the implementation needs none, and a disabled safeguard becomes visible sooner.
 PLAN = Plan(limit_units_per_s=40.0, burst_units=20.0)
 LARGEST_UNITS = 6.0
 SETTINGS = Settings(classes=(RequestClass(400 * MS, 2 * S),), plans=(PLAN,), max_units=LARGEST_UNITS)
 VOLUME = "00000000000000f1"
-SLACK_UNITS = 0.15 * PLAN.limit_units_per_s  # the protocol's on sockets: what the limit allows in 150 ms
-KINDS = ("kill", "stop", "break", "cut", "replace")
+SLACK_UNITS = 0.15 * PLAN.limit_units_per_s  # the protocol's slack on sockets: 150 ms of the limit
+FAULT_KINDS = ("kill", "stop", "break", "cut", "replace")
 
 
 def part() -> LimitPart:
-    found = limit_part(PLAN, VOLUME, 0, 1)
-    assert found is not None
-    return found
+    limit = limit_part(PLAN, VOLUME, 0, 1)
+    assert limit is not None
+    return limit
 
 
 @dataclass
 class Disk:
-    """One file. `broken`: every call fails; `generation` changes when the file is another one."""
+    """One file. `broken`: every call fails; `generation`: changes when the file is replaced by another."""
 
     data: bytearray = field(default_factory=bytearray)
     broken: bool = False
@@ -66,54 +67,54 @@
 
 @dataclass
 class Locks:
-    """By place: the log that the process there uses."""
+    """`present`: by slot, the id of the log that the process in it uses."""
 
     present: dict[int, int | None] = field(default_factory=dict)
 
 
 class World:
-    """Processes of one gateway, and the store of one volume as the nodes see it."""
+    """Processes of one gateway, and the store of one volume as seen by the nodes."""
 
-    def __init__(self, seed: int, most_depth: int = 3) -> None:
+    def __init__(self, seed: int, max_depth: int = 3) -> None:
         self.random = Random(seed)
         self.now = 100 * S
         self.disk, self.locks = Disk(), Locks()
         self.processes: list[Process] = []
-        self.made = self.depth = 0
-        self.most_depth = most_depth
+        self.started = self.depth = 0
+        self.max_depth = max_depth
         self.level, self.level_at = PLAN.burst_units, self.now
         self.lowest = self.level
         self.sent = 0.0
-        self.kinds = [kind for kind in KINDS if self.random.random() < 0.5]
+        self.kinds = [kind for kind in FAULT_KINDS if self.random.random() < 0.5]
 
     def start(self) -> None:
-        self.made += 1
-        self.processes.append(Process(self, self.made))
+        self.started += 1
+        self.processes.append(Process(self, self.started))
 
-    def draw(self, units: float) -> None:
-        """A node has got a request."""
+    def receive(self, units: float) -> None:
+        """A node has received a request."""
         gained = (self.now - self.level_at) * PLAN.limit_units_per_s / S
         self.level = min(PLAN.burst_units, self.level + gained) - units
         self.level_at = self.now
         self.lowest = min(self.lowest, self.level)
         self.sent += units
 
-    def interrupt(self, held: Process) -> None:
-        """`held` is about to make a system call: others may run meanwhile."""
+    def interrupt(self, suspended: Process) -> None:
+        """`suspended` is about to make a system call: others may run before it does."""
         self.now += self.random.randrange(0, 200)
-        if self.depth >= self.most_depth or self.random.random() > 0.15:
+        if self.depth >= self.max_depth or self.random.random() > 0.15:
             return
         self.depth += 1
-        held.busy = True
+        suspended.busy = True
         for _ in range(self.random.randrange(1, 8)):
             self.step()
-        held.busy = False
+        suspended.busy = False
         self.depth -= 1
-        if held.dead:
+        if suspended.dead:
             raise KilledError
 
     def step(self) -> None:
-        """Time passes, something happens, and one process that is not held takes a turn."""
+        """Advance the clock, maybe inject a fault, and run one process that is not suspended."""
         self.now += self.random.choice((500, 2 * MS, 5 * MS, 20 * MS, 80 * MS))
         self.fault()
         free = [p for p in self.processes if not p.busy and not p.dead and p.stopped_until <= self.now]
@@ -121,7 +122,7 @@
             self.random.choice(free).turn()
 
     def fault(self) -> None:
-        """One process starts, or one of this world's kinds of trouble begins or ends, at times."""
+        """Sometimes start a process, or begin or end one of this world's kinds of fault."""
         if self.disk.broken and self.random.random() < 0.05:
             self.disk.broken = False
         living = [p for p in self.processes if not p.dead]
@@ -144,33 +145,33 @@
 
 
 class KilledError(Exception):
-    """The process was killed while it was held."""
+    """The process was killed while it was suspended."""
 
 
 class Process:
-    """One process: a queue of requests that want units, and sends that are under way."""
+    """One process; `unsent`: requests whose units are spent and that have not been sent."""
 
-    def __init__(self, world: World, place: int) -> None:
-        self.world, self.place = world, place
+    def __init__(self, world: World, slot: int) -> None:
+        self.world, self.slot = world, slot
         self.busy = self.dead = False
         self.stopped_until = 0
-        self.under_way: list[tuple[object, float, int]] = []
+        self.unsent: list[tuple[object, float, int]] = []
         self.buckets: SharedBuckets | None = None
         try:
             self.buckets = SharedBuckets(SETTINGS, MemoryLocks(self), MemoryLog(self), Counters(),
-                                         lambda: world.now, seed=place)  # fmt: skip
+                                         lambda: world.now, seed=slot)  # fmt: skip
         except KilledError:
             return
         self.ready_at = world.now + 50 * MS
 
     def kill(self) -> None:
         self.dead = True
-        self.world.locks.present.pop(self.place, None)
+        self.world.locks.present.pop(self.slot, None)
 
-    def look(self) -> None:
-        """One look at the others, as at the begin of a step."""
+    def scan(self) -> None:
+        """Scan for the other processes, as at the beginning of a step."""
         if self.buckets is not None:
-            self.world.now += LOOK_US
+            self.world.now += SCAN_MAX_AGE_US
             self.buckets.refresh(self.world.now)
 
     def turn(self) -> None:
@@ -180,9 +181,9 @@
             self._turn(self.buckets, self.world.now)
 
     def _turn(self, buckets: SharedBuckets, now: int) -> None:
-        """As the engine's step: look, decide by one clock reading, claim, decide again, send."""
+        """Like a step of the engine: scan, decide by one clock reading, claim, decide again, send."""
         buckets.refresh(now)
-        if not self.under_way and buckets.mode is not None and not hasattr(self, "begun"):
+        if not self.unsent and buckets.mode is not None and not hasattr(self, "begun"):
             self.begun = True
             buckets.begin(now)
         for _ in range(3):
@@ -190,9 +191,9 @@
             if not buckets.exchange(now):
                 break
             buckets.events()
-        for charge, units, spent_at in self.under_way:
+        for charge, units, spent_at in self.unsent:
             self._send(buckets, charge, units, spent_at)
-        self.under_way.clear()
+        self.unsent.clear()
 
     def _spend(self, buckets: SharedBuckets, now: int) -> None:
         random = self.world.random
@@ -201,10 +202,10 @@
             if buckets.wait_us(part(), units, now) > 0:
                 return
             buckets.spend(part(), units, now)
-            self.under_way.append((buckets.charge(now), units, now))
+            self.unsent.append((buckets.charge(now), units, now))
 
     def _send(self, buckets: SharedBuckets, charge: object, units: float, spent_at: int) -> None:
-        """The gate's look, then the write. A hold between the two is within what the protocol allows for."""
+        """The gate's check, then the write. The protocol's slack allows for a suspension between the two."""
         world = self.world
         world.interrupt(self)
         if world.random.random() < 0.05:
@@ -214,11 +215,11 @@
             buckets.release(part(), units, spent_at, world.now)
             return
         buckets.written(part(), units, world.now)
-        world.draw(units)
+        world.receive(units)
 
 
 class MemoryLocks:
-    """`stackrouter.sharing.presence.Presence` in memory."""
+    """In-memory `stackrouter.sharing.presence.Presence`."""
 
     def __init__(self, process: Process) -> None:
         self.process = process
@@ -226,22 +227,22 @@
 
     def join(self, log_id: int | None) -> None:
         self.process.world.interrupt(self.process)
-        self.log_id = self.process.world.locks.present[self.process.place] = log_id
+        self.log_id = self.process.world.locks.present[self.process.slot] = log_id
 
-    def use(self, log_id: int | None) -> None:
+    def use_log(self, log_id: int | None) -> None:
         self.process.world.interrupt(self.process)
-        self.log_id = self.process.world.locks.present[self.process.place] = log_id
+        self.log_id = self.process.world.locks.present[self.process.slot] = log_id
 
-    def look(self) -> Seen:
+    def scan(self) -> ProcessView:
         self.process.world.interrupt(self.process)
         present = self.process.world.locks.present
-        others = tuple(place for place in present if place != self.process.place)
-        share = self.log_id is not None and all(present[place] == self.log_id for place in others)
-        return Seen(self.process.place, others, share)
+        others = tuple(slot for slot in present if slot != self.process.slot)
+        same_log = self.log_id is not None and all(present[slot] == self.log_id for slot in others)
+        return ProcessView(self.process.slot, others, same_log)
 
 
 class MemoryLog:
-    """`stackrouter.sharing.log_file.LogFile` on the world's disk."""
+    """`stackrouter.sharing.log_file.LogFile` on the world's in-memory disk."""
 
     def __init__(self, process: Process) -> None:
         self.process = process
@@ -268,7 +269,7 @@
     def read_new(self) -> bytes:
         self._call()
         if len(self.disk.data) < self.offset:
-            raise LimitLogError("was cut")
+            raise LimitLogError("was truncated")
         data = bytes(self.disk.data[self.offset :])
         self.offset += len(data)
         return data
@@ -276,13 +277,13 @@
     def rewind(self) -> None:
         self.offset = 0
 
-    def empty(self) -> None:
+    def truncate(self) -> None:
         self._call()
         self.disk.data.clear()
         self.offset = 0
 
 
-def play(seed: int, steps: int = 600) -> World:
+def run_world(seed: int, steps: int = 600) -> World:
     world = World(seed)
     world.start()
     for _ in range(steps):
@@ -290,19 +291,19 @@
     return world
 
 
-def scripted(*starts: int) -> World:
-    """Processes that nobody holds, started so many microseconds after one another; each has looked once."""
-    world = World(1, most_depth=0)
+def world_without_suspension(*starts: int) -> World:
+    """Processes that are never suspended, started after these delays (microseconds); each has scanned once."""
+    world = World(1, max_depth=0)
     world.kinds = []
     for after in starts:
         world.now += after
         world.start()
-        world.processes[-1].look()
+        world.processes[-1].scan()
     return world
 
 
 def spend_all(process: Process) -> float:
-    """All that the process may spend and send at this time, in units."""
+    """Spend and send all units that the process may at this time; returns their number."""
     buckets, now, spent = process.buckets, process.world.now, 0.0
     assert buckets is not None
     buckets.refresh(now)
@@ -312,14 +313,14 @@
         if buckets.wait_us(part(), 1.0, now) == 0:
             buckets.spend(part(), 1.0, now)
             buckets.written(part(), 1.0, now)
-            process.world.draw(1.0)
+            process.world.receive(1.0)
             spent += 1.0
-            process.world.now += sharing.EXCHANGE_US
+            process.world.now += sharing.EXCHANGE_INTERVAL_US
             now = process.world.now
     return spent
 
 
-def accept_every_claim(self: SharedAccount, record: Record) -> float:
+def accept_every_claim(self: ReplayedBuckets, record: Record) -> float:
     APPLY(self, record)
     return 1e9
 
@@ -328,24 +329,30 @@
     self._filled(part, now).tokens -= units
 
 
-def credit_any_return(self: SharedAccount, record: Record) -> float:
+def credit_any_return(self: ReplayedBuckets, record: Record) -> float:
     if record.kind is RecordKind.RETURN:
         record = replace(record, at_us=max(self._now, record.at_us))
     return APPLY(self, record)
 
 
-APPLY = SharedAccount.apply
-# A guard that is taken out, and seeds of which at least one shows it.
-PLANTED: dict[str, tuple[Callable[[], AbstractContextManager[object]], tuple[int, ...]]] = {
-    "decisions rest on a look of any age": (lambda: mock.patch.object(sharing, "LOOK_US", 10**12), (0, 1, 2)),
-    "a charge holds for ever": (lambda: mock.patch.object(sharing, "CHARGE_US", 10**12), (34, 37, 100)),
-    "claims are not judged": (lambda: mock.patch.object(SharedAccount, "apply", accept_every_claim), (119,)),
-    "units set aside do not count": (
+APPLY = ReplayedBuckets.apply
+# Disabled safeguards, and seeds of which at least one exposes the fault.
+DISABLED_SAFEGUARDS: dict[str, tuple[Callable[[], AbstractContextManager[object]], tuple[int, ...]]] = {
+    "scans of any age are accepted": (
+        lambda: mock.patch.object(sharing, "SCAN_MAX_AGE_US", 10**12),
+        (0, 1, 2),
+    ),
+    "charges never expire": (lambda: mock.patch.object(sharing, "CHARGE_MAX_AGE_US", 10**12), (34, 37, 100)),
+    "all claims are granted": (
+        lambda: mock.patch.object(ReplayedBuckets, "apply", accept_every_claim),
+        (119,),
+    ),
+    "units set aside are ignored": (
         lambda: mock.patch.object(LimitBuckets, "spend", spend_without_setting_aside),
         (43, 109),
     ),
     "late returns are credited": (
-        lambda: mock.patch.object(SharedAccount, "apply", credit_any_return),
+        lambda: mock.patch.object(ReplayedBuckets, "apply", credit_any_return),
         (141,),
     ),
 }
@@ -354,94 +361,94 @@
 class Model(unittest.TestCase):
     @examples(derandomize=True, max_examples=120, deadline=None)
     @given(st.integers(0, 2**32))
-    def test_no_interleaving_passes_the_limit(self, seed: int) -> None:
-        world = play(seed)
+    def test_no_interleaving_exceeds_the_limit(self, seed: int) -> None:
+        world = run_world(seed)
         self.assertGreaterEqual(world.lowest, -SLACK_UNITS, seed)
 
-    def test_a_guard_that_is_taken_out_is_found(self) -> None:
-        for name, (planted, seeds) in PLANTED.items():
-            with self.subTest(name), planted():
-                self.assertLess(min(play(seed).lowest for seed in seeds), -SLACK_UNITS)
+    def test_each_disabled_safeguard_is_detected(self) -> None:
+        for name, (disable, seeds) in DISABLED_SAFEGUARDS.items():
+            with self.subTest(name), disable():
+                self.assertLess(min(run_world(seed).lowest for seed in seeds), -SLACK_UNITS)
 
 
-class Guards(unittest.TestCase):
-    """One guard each, at the moment for which it is there."""
+class Safeguards(unittest.TestCase):
+    """One safeguard per test, in the situation for which it exists."""
 
     def modes(self, world: World) -> list[Mode | None]:
         return [p.buckets.mode for p in world.processes if p.buckets is not None]
 
-    def test_both_serve_all_of_the_limit_whichever_the_clients_are_on(self) -> None:
-        for asked in (0, 1):
-            with self.subTest(asked):
-                world = scripted(0, S)
+    def test_either_process_can_use_the_whole_limit(self) -> None:
+        for serving in (0, 1):
+            with self.subTest(serving):
+                world = world_without_suspension(0, S)
                 began = world.now
                 spent = 0.0
                 while world.now < began + 5 * S:
-                    spent += spend_all(world.processes[asked])
+                    spent += spend_all(world.processes[serving])
                     world.now += 10 * MS
-                self.assertEqual(self.modes(world)[asked], Mode.SHARED)
+                self.assertEqual(self.modes(world)[serving], Mode.SHARED)
                 self.assertGreater(spent, 0.9 * 40 * 5)
                 self.assertGreaterEqual(world.lowest, -SLACK_UNITS)
 
-    def test_who_comes_begins_empty_once_all_others_have_looked(self) -> None:
-        world = scripted(0, S)
+    def test_a_joining_process_starts_empty_after_all_others_have_scanned(self) -> None:
+        world = world_without_suspension(0, S)
         new = world.processes[1].buckets
         assert new is not None
-        self.assertEqual(new._account.epoch_at, new._joined_at + NOTICE_US)
+        self.assertEqual(new._replayed.epoch_at, new._joined_at + JOIN_DELAY_US)
         self.assertEqual(spend_all(world.processes[1]), 0.0)
 
-    def test_what_was_left_alone_is_told_as_of_the_epochs_begin(self) -> None:
-        world = scripted(0, S)
+    def test_levels_of_a_process_that_was_alone_are_logged_as_of_the_epochs_begin(self) -> None:
+        world = world_without_suspension(0, S)
         first, second = world.processes
-        world.now += 2 * S  # the first was stopped meanwhile, the second spends what fills
+        world.now += 2 * S  # the first is stopped during this time, the second spends the refill
         spend_all(second)
-        level = second.buckets._account.buckets.level(part(), world.now) if second.buckets else 0.0
-        first.look()
-        second.look()
+        level = second.buckets._replayed.buckets.level(part(), world.now) if second.buckets else 0.0
+        first.scan()
+        second.scan()
         assert second.buckets is not None
-        # A second's fill of the first: its start and what filled up to the epoch, no more.
-        gained = second.buckets._account.buckets.level(part(), world.now) - level
+        # One second's refill of the first process: its initial units and the refill up to the epoch, no more.
+        gained = second.buckets._replayed.buckets.level(part(), world.now) - level
         self.assertLessEqual(gained, 40 * 1.06 + 1)
 
-    def test_an_epoch_of_the_dead_is_not_taken_for_current(self) -> None:
-        world = scripted(0, S)
-        world.processes[1].kill()  # nobody has seen it; its epoch stands in the log
+    def test_an_epoch_of_a_killed_process_is_not_current(self) -> None:
+        world = world_without_suspension(0, S)
+        world.processes[1].kill()  # no process has seen it, but its epoch is in the log
         world.now += S
         spent = spend_all(world.processes[0])
         self.assertGreaterEqual(spent, 20)
         world.start()
-        world.processes[2].look()
-        world.now += NOTICE_US
+        world.processes[2].scan()
+        world.now += JOIN_DELAY_US
         self.assertLess(spend_all(world.processes[2]), 3)
 
-    def test_alone_again_the_log_says_nothing_any_more(self) -> None:
-        world = scripted(0, S)
-        world.processes[0].look()
+    def test_the_last_remaining_process_truncates_the_log(self) -> None:
+        world = world_without_suspension(0, S)
+        world.processes[0].scan()
         world.processes[1].kill()
         world.now += S
-        world.processes[0].look()
+        world.processes[0].scan()
         self.assertEqual(self.modes(world)[0], Mode.ALONE)
         self.assertEqual(bytes(world.disk.data), b"")
 
-    def test_who_cannot_use_the_log_is_seen_and_all_keep_to_even_parts(self) -> None:
-        world = scripted(0)
-        world.processes[0].look()
+    def test_a_process_that_cannot_use_the_log_makes_all_split_evenly(self) -> None:
+        world = world_without_suspension(0)
+        world.processes[0].scan()
         world.disk.broken = True
         world.now += S
         world.start()
-        world.processes[1].look()
+        world.processes[1].scan()
         world.disk.broken = False
-        world.now += LOOK_US
-        world.processes[0].look()
+        world.now += SCAN_MAX_AGE_US
+        world.processes[0].scan()
         self.assertEqual(self.modes(world), [Mode.SPLIT, Mode.SPLIT])
         record = RecordReader().feed(bytes(world.disk.data))[-1]
-        self.assertEqual(record.kind, RecordKind.VOID)  # what stands in the log holds for nobody any more
+        self.assertEqual(record.kind, RecordKind.VOID)  # the records before it are invalid for all processes
         world.now += 2 * S
         self.assertLessEqual(sum(spend_all(p) for p in world.processes), 20 + 2)
 
-    def test_processes_that_cannot_be_counted_keep_to_a_third(self) -> None:
+    def test_processes_that_cannot_be_counted_are_limited_to_a_third(self) -> None:
         with mock.patch.object(MemoryLocks, "join", side_effect=OSError("not here")):
-            world = scripted(0)
+            world = world_without_suspension(0)
         world.now += 10 * S
         self.assertEqual(self.modes(world), [Mode.SPLIT])
         self.assertLessEqual(spend_all(world.processes[0]), 20 / 3 + 1)
@@ -452,80 +459,78 @@
         return b"".join(Record(RecordKind.CLAIM, 7, n, 5, 0, 1, 9, 2.5).encode() for n in sequences)
 
     @given(st.lists(st.integers(0, 3 * RECORD_BYTES), max_size=5))
-    def test_records_come_whole_in_any_pieces(self, cuts: list[int]) -> None:
-        data, reader, found = self.encoded(0, 1, 2), RecordReader(), []
+    def test_records_are_decoded_from_pieces_of_any_size(self, cuts: list[int]) -> None:
+        data, reader, records = self.encoded(0, 1, 2), RecordReader(), []
         at = 0
         for cut in [*sorted(cuts), len(data)]:
-            found += reader.feed(data[at:cut])
+            records += reader.feed(data[at:cut])
             at = cut
-        self.assertEqual([r.sequence for r in found], [0, 1, 2])
-        self.assertEqual(found[0].units, 2.5)
+        self.assertEqual([r.sequence for r in records], [0, 1, 2])
+        self.assertEqual(records[0].units, 2.5)
 
-    def test_what_is_missing_or_changed_is_an_error(self) -> None:
+    def test_a_missing_or_damaged_record_is_an_error(self) -> None:
         whole = self.encoded(0, 1, 2)
         for wrong in (self.encoded(1), self.encoded(0, 2), whole[1:], whole[:50] + b"x" + whole[51:]):
             with self.subTest(wrong[:8]), self.assertRaises(LimitLogError):
                 RecordReader().feed(wrong)
 
 
-class Numbers:
-    """`stackrouter.sharing.room.Claims` in memory, of one process among several."""
+class MemoryCounts:
+    """In-memory `stackrouter.sharing.room.SocketCounts` of one process among several."""
 
-    def __init__(self, table: dict[int, int], place: int) -> None:
-        self.table, self.place = table, place
+    def __init__(self, table: dict[int, int], slot: int) -> None:
+        self.table, self.slot = table, slot
 
     def publish(self, kind: int, count: int) -> None:
-        self.table[self.place] = count
+        self.table[self.slot] = count
 
     def published(self, kind: int) -> int:
-        return sum(count for place, count in self.table.items() if place != self.place)
+        return sum(count for slot, count in self.table.items() if slot != self.slot)
 
 
-class Rooms(unittest.TestCase):
+class SocketLimits(unittest.TestCase):
     @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 60)), max_size=40))
-    def test_all_processes_together_never_hold_more_than_there_are(
-        self, steps: list[tuple[int, int]]
-    ) -> None:
+    def test_all_processes_together_never_exceed_the_total(self, steps: list[tuple[int, int]]) -> None:
         table: dict[int, int] = {}
-        rooms = [SharedRoom(Numbers(table, place), CLIENTS) for place in range(3)]
-        held, most = [0, 0, 0], [0, 0, 0]
-        for room in rooms:
-            room.most(100, 0)
-        for place, wanted in steps:
-            most[place] = rooms[place].most(100, held[place])
-            held[place] = min(wanted, most[place]) if wanted > held[place] else wanted
+        limits = [SharedSocketLimit(MemoryCounts(table, slot), CLIENTS) for slot in range(3)]
+        held, allowed = [0, 0, 0], [0, 0, 0]
+        for limit in limits:
+            limit.allowed(100, 0)
+        for slot, wanted in steps:
+            allowed[slot] = limits[slot].allowed(100, held[slot])
+            held[slot] = min(wanted, allowed[slot]) if wanted > held[slot] else wanted
             self.assertLessEqual(sum(held), 100)
 
     def test_a_process_that_serves_most_clients_keeps_them(self) -> None:
         table: dict[int, int] = {}
-        old, new = (SharedRoom(Numbers(table, place), CLIENTS) for place in range(2))
-        old.most(100, 70)
-        self.assertEqual(new.most(100, 0), 5)  # the old one may grow to 95
-        self.assertEqual(old.most(100, 20), 45)
-        self.assertEqual(new.most(100, 5), 30)
+        old, new = (SharedSocketLimit(MemoryCounts(table, slot), CLIENTS) for slot in range(2))
+        old.allowed(100, 70)
+        self.assertEqual(new.allowed(100, 0), 5)  # the old process may grow to 95
+        self.assertEqual(old.allowed(100, 20), 45)
+        self.assertEqual(new.allowed(100, 5), 30)
 
-    def test_where_the_system_does_not_tell_each_keeps_to_a_third(self) -> None:
-        numbers = Numbers({}, 0)
-        with mock.patch.object(numbers, "publish", side_effect=OSError("not here")):
-            self.assertEqual(ProcessRooms(numbers).most((90, 1), (60, 1)), (30, 20))
+    def test_where_counts_cannot_be_published_each_is_limited_to_a_third(self) -> None:
+        counts = MemoryCounts({}, 0)
+        with mock.patch.object(counts, "publish", side_effect=OSError("not here")):
+            self.assertEqual(ProcessRooms(counts).most((90, 1), (60, 1)), (30, 20))
 
 
 class Files(unittest.TestCase):
-    """The file and the locks, with the system's own errors."""
+    """The real file and locks, with errors of the operating system."""
 
     def setUp(self) -> None:
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
         self.folder = scratch.name
-        self.held = socket.create_server(("127.0.0.1", 0))
-        self.addCleanup(self.held.close)
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.addCleanup(self.listener.close)
 
     def file(self) -> SharedFile:
-        made = SharedFile(self.folder, "n1", self.held.fileno())
-        self.addCleanup(made.close)
-        return made
+        log_file = SharedFile(self.folder, "n1", self.listener.fileno())
+        self.addCleanup(log_file.close)
+        return log_file
 
-    def test_two_processes_read_all_that_both_append_in_one_order(self) -> None:
+    def test_two_processes_read_both_appends_in_the_same_order(self) -> None:
         first, second = self.file(), self.file()
         self.assertEqual(first.open(), second.open())
         first.append(b"one")
@@ -533,62 +538,66 @@
         self.assertEqual((first.read_new(), second.read_new()), (b"onetwo", b"onetwo"))
         self.assertEqual(first.read_new(), b"")
 
-    def test_a_file_that_is_gone_cut_or_too_large_is_an_error(self) -> None:
-        def gone(path: Path) -> None:
+    def test_a_removed_truncated_or_too_large_file_is_an_error(self) -> None:
+        def remove(path: Path) -> None:
             path.unlink()
 
         def cut(path: Path) -> None:
             os.truncate(path, 1)
 
         def large(path: Path) -> None:
-            os.truncate(path, MOST_BYTES + 1)
+            os.truncate(path, MAX_LOG_BYTES + 1)
 
-        for spoil in (gone, cut, large):
-            with self.subTest(spoil.__name__):
+        for damage in (remove, cut, large):
+            with self.subTest(damage.__name__):
                 log_file = self.file()
                 log_file.open()
                 log_file.append(b"some")
                 log_file.read_new()
-                spoil(next(Path(self.folder).iterdir()))
+                damage(next(Path(self.folder).iterdir()))
                 with self.assertRaises(LimitLogError):
                     log_file.read_new()
                 for path in Path(self.folder).iterdir():
                     path.unlink()
 
-    def test_each_call_that_fails_is_an_error_that_names_the_file(self) -> None:
-        acts: tuple[tuple[str, Callable[[SharedFile], object]], ...] = (
+    def test_each_failing_call_raises_an_error_that_names_the_file(self) -> None:
+        calls: tuple[tuple[str, Callable[[SharedFile], object]], ...] = (
             ("open", SharedFile.open),
             ("write", lambda log_file: log_file.append(b"x")),
             ("pread", SharedFile.read_new),
             ("fstat", SharedFile.read_new),
-            ("ftruncate", SharedFile.empty),
+            ("ftruncate", SharedFile.truncate),
         )
-        for call, act in acts:
+        for call, operation in calls:
             for number in (errno.ENOSPC, errno.EIO, errno.EROFS):
                 log_file = self.file()
                 log_file.open()
                 log_file.append(b"some")
                 failing = mock.patch.object(os, call, side_effect=OSError(number, os.strerror(number)))
-                with self.subTest(call=call, number=number), failing, self.assertRaises(LimitLogError) as got:
-                    act(log_file)
-                self.assertIn("stackrouter-limits", got.exception.file)
-
-    def test_a_write_in_part_is_an_error(self) -> None:
+                with (
+                    self.subTest(call=call, number=number),
+                    failing,
+                    self.assertRaises(LimitLogError) as caught,
+                ):
+                    operation(log_file)
+                self.assertIn("stackrouter-limits", caught.exception.file)
+
+    def test_a_partial_write_is_an_error(self) -> None:
         log_file = self.file()
         log_file.open()
         with mock.patch.object(os, "write", return_value=2), self.assertRaises(LimitLogError):
             log_file.append(b"some")
 
-    def test_another_process_is_seen_until_it_ends_and_its_log_with_it(self) -> None:
+    def test_another_process_and_its_log_are_visible_until_it_ends(self) -> None:
         code = (
             "import sys; from stackrouter.sharing.presence import SocketPresence;"
-            f"p = SocketPresence({self.held.fileno()}); p.join(5); p.publish(1, 40); p.publish(1, 30);"
+            f"p = SocketPresence({self.listener.fileno()}); p.join(5); p.publish(1, 40); p.publish(1, 30);"
             "print('here', flush=True); sys.stdin.read()"
         )
-        ours = SocketPresence(self.held.fileno())
+        ours = SocketPresence(self.listener.fileno())
         ours.join(5)
-        self.assertEqual(ours.look(), Seen(0))
-        other = subprocess.Popen([sys.executable, "-c", code], pass_fds=(self.held.fileno(),), cwd=ROOT,
+        self.assertEqual(ours.scan(), ProcessView(0))
+        other = subprocess.Popen([sys.executable, "-c", code], pass_fds=(self.listener.fileno(),), cwd=ROOT,
                                  stdin=subprocess.PIPE, stdout=subprocess.PIPE)  # fmt: skip
         self.addCleanup(other.wait)
         self.addCleanup(other.kill)
@@ -596,13 +605,13 @@
         self.addCleanup(other.stdout.close)
         self.addCleanup(other.stdin.close)
         self.assertEqual(other.stdout.readline(), b"here\n")
-        self.assertEqual(ours.look(), Seen(0, (1,), share=True))
+        self.assertEqual(ours.scan(), ProcessView(0, (1,), same_log=True))
         self.assertEqual((ours.published(0), ours.published(1)), (0, 30))
-        ours.use(6)
-        self.assertEqual(ours.look(), Seen(0, (1,), share=False))
+        ours.use_log(6)
+        self.assertEqual(ours.scan(), ProcessView(0, (1,), same_log=False))
         other.kill()
         other.wait()
-        self.assertEqual(ours.look(), Seen(0))
+        self.assertEqual(ours.scan(), ProcessView(0))
 
 
 if __name__ == "__main__":
