--- a/stackrouter/accounts/__init__.py
+++ b/stackrouter/accounts/__init__.py
@@ -1,1 +1,1 @@
-"""Latency accounts: whose work made a request wait, at which node. Pure: facts in, figures out."""
+"""Latency accounts: who caused a request to wait, and at which node. Facts in, figures out; no I/O."""
--- a/stackrouter/accounts/book.py
+++ b/stackrouter/accounts/book.py
@@ -1,4 +1,4 @@
-"""Sums what the accounts tell, in bounded memory however many volumes there are."""
+"""Sums up closed requests and their charges in bounded memory, for any number of volumes."""
 
 from __future__ import annotations
 
@@ -10,124 +10,125 @@
 
 from stackrouter.accounts.ledger import ELSEWHERE, Charge
 from stackrouter.accounts.sketch import TopSums
-from stackrouter.accounts.split import Life, Split
+from stackrouter.accounts.split import RequestState, Split
 
-PAIRS = 4096
-MOST_NODES = 256
-SLOTS = 240  # of the time line; when they are full, two become one
-SLOT_US = 250_000
-SLOT_CAUSES = 12  # causes kept apart in one slot
-LONGEST_US = 60_000_000
-DIGITS = 2
-NODE = ""  # the key of what nodes took by themselves
-REST = "others"
+DEFAULT_PAIRS = 4096
+MAX_NODES = 256
+MAX_SLOTS = 240  # of the timeline; when all are in use, each two neighbours are merged
+INITIAL_SLOT_US = 250_000
+MAX_SLOT_CAUSES = 12  # causes tracked separately in one slot
+MAX_LATENCY_US = 60_000_000
+HISTOGRAM_DIGITS = 2
+NODE = ""  # volume of charges to the node itself
+OTHER_CAUSES = "others"
 
 
 @dataclass(slots=True)
 class Slot:
-    """A stretch of the time line. Microseconds; `node_wait`: by node, what requests waited there."""
+    """An interval of the timeline. Sums in microseconds; `node_wait`: waiting time of requests by node."""
 
     parts: list[int] = field(default_factory=lambda: [0] * len(Split._fields))
     requests: int = 0
     causes: Counter[str] = field(default_factory=Counter)
     node_wait: Counter[str] = field(default_factory=Counter)
 
-    def take(self, other: Slot) -> None:
+    def merge(self, other: Slot) -> None:
         self.parts = [a + b for a, b in zip(self.parts, other.parts, strict=True)]
         self.requests += other.requests
         for cause, us in other.causes.items():
-            self.cause(cause, us)
+            self.add_cause(cause, us)
         self.node_wait.update(other.node_wait)
 
-    def cause(self, cause: str, us: float) -> None:
-        known = cause in self.causes or len(self.causes) < SLOT_CAUSES
-        self.causes[cause if known else REST] += round(us)
+    def add_cause(self, cause: str, us: float) -> None:
+        known = cause in self.causes or len(self.causes) < MAX_SLOT_CAUSES
+        self.causes[cause if known else OTHER_CAUSES] += round(us)
 
 
 class TimeLine:
-    """A bounded number of slots over the whole time: they grow with it."""
+    """Covers the whole time with a bounded number of slots, whose length grows with it."""
 
     def __init__(self) -> None:
-        self.slot_us, self.begin = SLOT_US, -1
+        self.slot_us, self.begin = INITIAL_SLOT_US, -1
         self.slots: list[Slot] = []
 
     def at(self, when: int) -> Slot:
+        """The slot of a time. Times before the first one seen belong to the first slot."""
         if self.begin < 0:
             self.begin = when
-        while (place := max(0, when - self.begin) // self.slot_us) >= SLOTS:
-            self._halve()
+        while (place := max(0, when - self.begin) // self.slot_us) >= MAX_SLOTS:
+            self._merge_neighbours()
         while len(self.slots) <= place:
             self.slots.append(Slot())
         return self.slots[place]
 
-    def _halve(self) -> None:
+    def _merge_neighbours(self) -> None:
         self.slot_us *= 2
         for i in range(1, len(self.slots), 2):
-            self.slots[i - 1].take(self.slots[i])
+            self.slots[i - 1].merge(self.slots[i])
         self.slots = self.slots[::2]
 
 
 @dataclass(slots=True)
 class Group:
-    """All requests of one plan and class: sums of the parts, and the distribution of latencies."""
+    """All requests of one plan and class: sums of the latency parts, and the distribution of latencies."""
 
     parts: list[int] = field(default_factory=lambda: [0] * len(Split._fields))
     requests: int = 0
-    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, LONGEST_US, DIGITS))
+    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, HISTOGRAM_DIGITS))
 
 
 class Book:
-    """`closed` has the signature that `Accounts` tells closed requests by."""
+    """Sums of charges. `add_closed` can be passed to `Accounts` as `on_closed`."""
 
-    def __init__(self, pairs: int = PAIRS) -> None:
-        self.causes: TopSums[tuple[str, int]] = TopSums(max(64, pairs // 4))  # volume, plan
-        self.pairs: TopSums[tuple[str, str, str]] = TopSums(pairs)  # waiter, cause, node
-        self.waiters: TopSums[str] = TopSums(max(64, pairs // 4))  # latency by volume
-        self.nodes: TopSums[str] = TopSums(MOST_NODES)  # what nodes took by themselves
+    def __init__(self, pairs: int = DEFAULT_PAIRS) -> None:
+        self.causes: TopSums[tuple[str, int]] = TopSums(max(64, pairs // 4))  # (volume, plan)
+        self.pairs: TopSums[tuple[str, str, str]] = TopSums(pairs)  # (waiter, cause, node)
+        self.waiters: TopSums[str] = TopSums(max(64, pairs // 4))  # latency, by volume
+        self.nodes: TopSums[str] = TopSums(MAX_NODES)  # time charged to the nodes themselves
         self.groups: dict[tuple[int, int], Group] = {}
         self.line = TimeLine()
         self.requests = 0
         self.node_us = self.unattributed_us = self.elsewhere_us = self.own_us = 0.0
         self._plans: dict[str, int] = {}
 
-    def closed(self, at: int, life: Life, split: Split, charges: list[Charge]) -> None:
+    def add_closed(self, at: int, request: RequestState, split: Split, charges: list[Charge]) -> None:
         self.requests += 1
         latency = sum(split)
-        self.waiters.add(life.volume, latency)
-        group = self.groups.get((life.plan, life.request_class))
+        self.waiters.add(request.volume, latency)
+        group = self.groups.get((request.plan, request.request_class))
         if group is None:
-            group = self.groups[life.plan, life.request_class] = Group()
+            group = self.groups[request.plan, request.request_class] = Group()
         group.requests += 1
-        group.latency.record_value(max(1, min(LONGEST_US, latency)))
+        group.latency.record_value(max(1, min(MAX_LATENCY_US, latency)))
         slot = self.line.at(at)
         slot.requests += 1
         for i, us in enumerate(split):
             group.parts[i] += us
             slot.parts[i] += us
-        slot.node_wait[life.node] += split.room + split.node + split.lost
-        if len(self._plans) < self.causes.most:
-            self._plans.setdefault(life.volume, life.plan)
+        slot.node_wait[request.node] += split.room + split.node + split.lost
+        if len(self._plans) < self.causes.capacity:
+            self._plans.setdefault(request.volume, request.plan)
         for charge in charges:
             if charge.us > 0:
-                self._charge(life, slot, charge.volume, charge.us)
+                self._charge(request, slot, charge.volume, charge.us)
 
-    def _charge(self, life: Life, slot: Slot, volume: str | None, us: float) -> None:
+    def _charge(self, request: RequestState, slot: Slot, volume: str | None, us: float) -> None:
         if volume is None:
             self.unattributed_us += us
         elif volume == NODE:
             self.node_us += us
-            self.nodes.add(life.node, us)
+            self.nodes.add(request.node, us)
         elif volume == ELSEWHERE:
             self.elsewhere_us += us
-        elif volume == life.volume:
+        elif volume == request.volume:
             self.own_us += us
         else:
             self.causes.add((volume, self._plans.get(volume, -1)), us)
-            self.pairs.add((life.volume, volume, life.node), us)
-            slot.cause(volume, us)
+            self.pairs.add((request.volume, volume, request.node), us)
+            slot.add_cause(volume, us)
 
     def figures(self, plans: list[str], classes: list[str], most: int = 50) -> dict[str, Any]:
-        """All of it as plain values, for JSON and templates."""
+        """All sums as plain values, for JSON and templates. `most`: rows of each table."""
 
         def plan(i: int) -> str:
             return plans[i] if 0 <= i < len(plans) else ""
@@ -156,7 +157,7 @@
         }  # fmt: skip
 
     def timeline(self) -> dict[str, Any]:
-        """The time line as columns: `seconds` from the first closed request on."""
+        """The timeline as columns; `seconds`: time since the first closed request."""
         line = self.line
         return {
             "slot_us": line.slot_us,
--- a/stackrouter/accounts/report.py
+++ b/stackrouter/accounts/report.py
@@ -1,4 +1,4 @@
-"""From traces to figures: what was learned in a first look at the start is used in the look at all of it."""
+"""Computes figures from traces in two passes: over the beginning to learn baselines, then over everything."""
 
 from __future__ import annotations
 
@@ -8,57 +8,60 @@
 from typing import Any
 
 from stackrouter.accounts.accounts import Accounts
-from stackrouter.accounts.book import PAIRS, Book
-from stackrouter.accounts.ledger import Learned
+from stackrouter.accounts.book import DEFAULT_PAIRS, Book
+from stackrouter.accounts.ledger import NodeBaseline
 from stackrouter.core import facts
 from stackrouter.errors import MixedTracesError
 
-LEARN_FACTS = 150_000  # facts of the first look: minutes of a gateway's time, seconds of a machine's
+BASELINE_FACTS = 150_000  # facts of the first pass: minutes of a gateway's traffic, seconds to process
 
 Stream = Iterator[tuple[int, facts.Fact]]
 
 
 @dataclass(frozen=True, slots=True)
 class Usual:
-    """What a plan's volumes are sized for, and the units of the largest request."""
+    """Plans with the rates that their volumes are sized for, classes, and units of the largest request."""
 
-    plans: tuple[tuple[str, float], ...]  # name, usual units a second
+    plans: tuple[tuple[str, float], ...]  # name, usual units per second
     classes: tuple[str, ...]
     largest_units: float
 
 
-def learn(usual: Usual, stream: Stream) -> dict[str, Learned]:
-    """What every node is like while nobody exceeds the usual."""
-    accounts = Accounts(_rates(usual), usual.largest_units, lambda at, life, split, charges: None)
-    for gateway, fact in islice(stream, LEARN_FACTS):
-        accounts.read(gateway, fact)
-    return {node: ledger.learned() for node, ledger in accounts.ledgers.items()}
+def learn_baselines(usual: Usual, stream: Stream) -> dict[str, NodeBaseline]:
+    """Baselines of all nodes, from the first facts of the stream."""
+    accounts = Accounts(_usual_rates(usual), usual.largest_units, lambda at, request, split, charges: None)
+    for gateway, fact in islice(stream, BASELINE_FACTS):
+        accounts.process(gateway, fact)
+    return {node: ledger.baseline() for node, ledger in accounts.ledgers.items()}
 
 
-def read(usual: Usual, open_stream: Callable[[], Stream], pairs: int = PAIRS,
+def read(usual: Usual, open_stream: Callable[[], Stream], pairs: int = DEFAULT_PAIRS,
          each: Callable[[int], None] = lambda count: None) -> Book:  # fmt: skip
-    """The books of all facts. `open_stream` is called twice; `each` hears of progress, by facts read."""
+    """Account for all facts. `open_stream` is called twice; `each` is called with the number of facts read."""
     book = Book(pairs)
-    accounts = Accounts(_rates(usual), usual.largest_units, book.closed, learn(usual, open_stream()))
+    accounts = Accounts(
+        _usual_rates(usual), usual.largest_units, book.add_closed, learn_baselines(usual, open_stream())
+    )
     count = 0
     for count, (gateway, fact) in enumerate(open_stream(), 1):
-        accounts.read(gateway, fact)
+        accounts.process(gateway, fact)
         if not count % 20_000:
             each(count)
     each(count)
     return book
 
 
-def _rates(usual: Usual) -> list[float]:
+def _usual_rates(usual: Usual) -> list[float]:
     return [rate for _, rate in usual.plans]
 
 
 def figures(book: Book, usual: Usual, most: int = 50) -> dict[str, Any]:
+    """The sums as plain values, with the names of plans and classes."""
     return book.figures([name for name, _ in usual.plans], list(usual.classes), most)
 
 
 def same(usuals: Iterable[Usual]) -> Usual:
-    """MixedTracesError: traces of gateways that were set up differently."""
+    """The common settings of all traces. Raises MixedTracesError if they differ."""
     found = set(usuals)
     if len(found) != 1:
         raise MixedTracesError("the traces are of gateways with different plans or classes")
--- a/tests/test_limit_sharing.py
+++ b/tests/test_limit_sharing.py
@@ -292,7 +292,7 @@
 
 
 def world_without_suspension(*starts: int) -> World:
-    """Processes that are never suspended, started after these delays (microseconds); each has scanned once."""
+    """Processes that are never suspended, started after these delays (us); each has scanned once."""
     world = World(1, max_depth=0)
     world.kinds = []
     for after in starts:
