--- a/stackrouter/accounts/report.py
+++ b/stackrouter/accounts/report.py
@@ -37,7 +37,7 @@
 
 def read(usual: Usual, open_stream: Callable[[], Stream], pairs: int = DEFAULT_PAIRS,
          each: Callable[[int], None] = lambda count: None) -> Book:  # fmt: skip
-    """Account for all facts. `open_stream` is called twice; `each` is called with the number of facts read."""
+    """Account for all facts. `open_stream` is called twice; `each` is passed the number of facts read."""
     book = Book(pairs)
     accounts = Accounts(
         _usual_rates(usual), usual.largest_units, book.add_closed, learn_baselines(usual, open_stream())
--- a/stackrouter/edge/__init__.py
+++ b/stackrouter/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's own file, in protobuf text format: what it may hold, and how it is checked."""
+"""The operator's settings file in protobuf text format: schema, validation, and setup of optional parts."""
--- a/stackrouter/edge/config.py
+++ b/stackrouter/edge/config.py
@@ -1,4 +1,4 @@
-"""The operator's settings as the program has them, with their bounds."""
+"""Data classes for the operator's settings file, with the bounds of each field. See edge.proto."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 from stackrouter.errors import AddressError
 
 Port = Annotated[int, Ge(0), Le(65535)]
-Wait = Annotated[int, Ge(1), Le(3_600_000)]
+TimeoutMs = Annotated[int, Ge(1), Le(3_600_000)]
 Name = Annotated[str, Len(1, 64)]
 Prefix = Annotated[str, Len(1, 1024)]
 
 
 @dataclass(frozen=True, slots=True)
 class SftpVolume:
+    """Maps paths with this prefix to a volume."""
+
     prefix: Prefix
     volume: Name
     plan: Name
@@ -28,25 +30,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Sftp:
+    """The SFTP-style front."""
+
     enabled: bool = False
     listen: str = ""
     node_port: Port = 0
     read_class: str = ""
     write_class: str = ""
-    read_wait_ms: Wait | None = None
-    write_wait_ms: Wait | None = None
+    read_wait_ms: TimeoutMs | None = None
+    write_wait_ms: TimeoutMs | None = None
     unit_bytes: Annotated[int, Ge(1), Le(1 << 30)] = 8192
     volume: tuple[SftpVolume, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Accounts:
+    """Latency accounts."""
+
     enabled: bool = False
     pairs: Annotated[int, Ge(16), Le(1_000_000)] = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class Trace:
+    """The trace of requests on disk."""
+
     enabled: bool = False
     file: str = ""
     most_mb: Annotated[int, Ge(1), Le(65_536)] = 64
@@ -55,11 +63,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    format: Literal["plain", "text", "json"] = "plain"  # plain: without structlog
+    """Format of log lines."""
+
+    format: Literal["plain", "text", "json"] = "plain"  # plain: does not import structlog
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
+    """A member of the coordination group."""
+
     name: Name
     address: str
     dial: str = ""
@@ -67,6 +79,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Drill:
+    """Artificial duty for fault drills."""
+
     receiver: str
     every_ms: Annotated[int, Ge(1), Le(60_000)] = 40
     work_ms: Annotated[int, Ge(0), Le(60_000)] = 8
@@ -75,6 +89,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
+    """Settings that are changed on all members together."""
+
     enabled: bool = False
     touch_ms: Annotated[int, Ge(100), Le(600_000)] = 2000
     after_ms: Annotated[int, Ge(100), Le(600_000)] = 3000
@@ -83,6 +99,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Coordination:
+    """Coordination among gateways or voting replicas."""
+
     enabled: bool = False
     store: Literal["raft", "etcd"] = "raft"
     member: str = ""
@@ -98,7 +116,7 @@
     drill: Drill | None = None
 
     def problem(self) -> str | None:
-        """What the fields say together that cannot be: the field's name and what is allowed."""
+        """Check the fields against each other. Returns the field and the rule that it breaks, or None."""
         touch_ms = self.policy.touch_ms
         if self.policy.enabled and self.policy.after_ms <= touch_ms:
             return f"policy.after_ms: must be more than policy.touch_ms ({touch_ms})"
@@ -117,8 +135,8 @@
         if self.store == "etcd" and not self.etcd:
             return "etcd: must be set where store is etcd"
         try:
-            for place, address in self._addresses():
-                address_of(address, place)
+            for field_name, address in self._addresses():
+                address_of(address, field_name)
         except AddressError as error:
             return str(error)
         return None
@@ -135,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replica:
-    """A control replica, as those who connect to it know it."""
+    """A control replica to connect to."""
 
     name: Name
     address: str
@@ -144,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaLimits:
-    """What a control replica takes and holds at most."""
+    """Resource limits of a control replica."""
 
     gateways: Annotated[int, Ge(1), Le(20_000)] = 2000
     queued_kb: Annotated[int, Ge(64), Le(1 << 20)] = 4096
@@ -157,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Control:
-    """A control plane apart from the gateways: what a gateway or a replica is told of it."""
+    """A separate control plane: settings of a gateway that observes it, or of one of its replicas."""
 
     enabled: bool = False
     region: Annotated[str, Len(0, 64)] = ""
@@ -173,7 +191,7 @@
     limits: ReplicaLimits = field(default_factory=ReplicaLimits)
 
     def problem(self, coordination: Coordination) -> str | None:
-        """What the fields say together that cannot be: the field's name and what is allowed."""
+        """Check the fields against each other. Returns the field and the rule that it breaks, or None."""
         if self.enabled:
             return self._gateway_problem(coordination) or self._common_problem()
         if self.listen and coordination.enabled:
@@ -188,11 +206,11 @@
         for name in ("listen", "admin", "discovery", "name"):
             if getattr(self, name):
                 return f"{name}: is for a replica, and must not be set where enabled is"
-        return self._unset("region", "replica")
+        return self._first_unset("region", "replica")
 
     def _voter_problem(self, coordination: Coordination) -> str | None:
         if self.replica:
-            return "replica: must not be set where coordination is enabled: a voting replica observes nobody"
+            return "replica: must not be set where coordination is enabled: a voting replica observes none"
         if self.name:
             return (
                 "name: must not be set where coordination is enabled: coordination.member names the replica"
@@ -207,16 +225,16 @@
             return (
                 f"touch_ms: must be less than coordination.policy.after_ms ({coordination.policy.after_ms})"
             )
-        return self._unset("admin", "discovery")
+        return self._first_unset("admin", "discovery")
 
     def _observing_replica_problem(self) -> str | None:
         if self.discovery:
             return "discovery: only a voting replica asks discovery; must not be set without coordination"
         if self.name in {replica.name for replica in self.replica}:
             return f"replica: must be other replicas than this one ({self.name})"
-        return self._unset("name", "admin", "replica")
+        return self._first_unset("name", "admin", "replica")
 
-    def _unset(self, *names: str) -> str | None:
+    def _first_unset(self, *names: str) -> str | None:
         missing = [name for name in names if not getattr(self, name)]
         return f"{missing[0]}: must be set" if missing else None
 
@@ -230,8 +248,8 @@
                 f"max_drift_ms: must be less than half of touch_ms ({self.touch_ms}), not {self.max_drift_ms}"
             )
         try:
-            for place, address in self._addresses():
-                address_of(address, place)
+            for field_name, address in self._addresses():
+                address_of(address, field_name)
         except AddressError as error:
             return str(error)
         return None
@@ -246,6 +264,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Edge:
+    """The whole file."""
+
     sftp: Sftp = field(default_factory=Sftp)
     accounts: Accounts = field(default_factory=Accounts)
     trace: Trace = field(default_factory=Trace)
@@ -254,5 +274,5 @@
     control: Control = field(default_factory=Control)
 
 
-# What must be set where a part is enabled.
-NEEDS = {"sftp": ("listen", "read_class", "write_class", "volume"), "trace": ("file",)}
+# Fields that must be set in a part that is enabled.
+REQUIRED_FIELDS = {"sftp": ("listen", "read_class", "write_class", "volume"), "trace": ("file",)}
--- a/stackrouter/edge/load.py
+++ b/stackrouter/edge/load.py
@@ -1,7 +1,7 @@
-"""Reads the operator's file: protobuf text format, then the bounds. Every error names the file and the place.
+"""Parses and validates the operator's settings file. Every error names the file and the line or field.
 
-`load_apart` does it in a child process that ends at once, so that the gateway never holds the parsers;
-where fork is refused, it reads the file in place.
+`load_apart` does it in a child process that exits afterwards, so that the gateway spends no memory on the
+parsers. Where fork fails, it parses the file in this process.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import re
 from pathlib import Path
 
-from stackrouter.edge.config import NEEDS, Edge
+from stackrouter.edge.config import REQUIRED_FIELDS, Edge
 from stackrouter.errors import (
     EdgeFileError,
     EdgeReaderError,
@@ -23,7 +23,7 @@
 
 
 def parse(text: str, name: str) -> Edge:
-    """An EdgeError: not protobuf text of the schema, or a value out of bounds."""
+    """Raises EdgeError if the text does not match the schema or a value is out of bounds."""
     from google.protobuf import json_format, text_format
     from pydantic import TypeAdapter, ValidationError
 
@@ -32,15 +32,15 @@
     try:
         message = text_format.Parse(text, edge_pb2.Edge())
     except text_format.ParseError as error:
-        line, what = _line(str(error))
+        line, what = _split_message(str(error))
         raise EdgeTextError(what, file=name, line=line) from None
     values = json_format.MessageToDict(message, preserving_proto_field_name=True)
     try:
         edge: Edge = TypeAdapter(Edge).validate_python(values)
     except ValidationError as error:
-        wrong = "; ".join(_say(e["loc"], e["msg"], e["input"]) for e in error.errors())
-        raise EdgeValueError(wrong, file=name) from None
-    for part, fields in NEEDS.items():
+        problems = "; ".join(_format_error(e["loc"], e["msg"], e["input"]) for e in error.errors())
+        raise EdgeValueError(problems, file=name) from None
+    for part, fields in REQUIRED_FIELDS.items():
         section = getattr(edge, part)
         missing = [field for field in fields if section.enabled and not getattr(section, field)]
         if missing:
@@ -54,21 +54,22 @@
     return edge
 
 
-def _line(said: str) -> tuple[int, str]:
-    """protobuf's "LINE:COLUMN : what is wrong" apart; 0 where it names no line."""
-    found = re.fullmatch(r"(\d+):(\d+) ?: ?(.*)", said, re.DOTALL)
-    return (int(found[1]), f"column {found[2]}: {found[3]}") if found else (0, said)
+def _split_message(error_text: str) -> tuple[int, str]:
+    """Split protobuf's "LINE:COLUMN : message" into line and text; line 0 if there is none."""
+    match = re.fullmatch(r"(\d+):(\d+) ?: ?(.*)", error_text, re.DOTALL)
+    return (int(match[1]), f"column {match[2]}: {match[3]}") if match else (0, error_text)
 
 
-def _say(place: tuple[int | str, ...], message: str, value: object) -> str:
+def _format_error(location: tuple[int | str, ...], message: str, value: object) -> str:
     path = ""
-    for part in place:
+    for part in location:
         path += f"[{part}]" if isinstance(part, int) else f".{part}" if path else part
     shown = "" if isinstance(value, dict) else f", not {value!r}"
     return f"{path}: {message[0].lower()}{message[1:]}{shown}"
 
 
 def load(path: Path) -> Edge:
+    """Raises EdgeError if the file cannot be read or is not valid."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
@@ -79,12 +80,12 @@
 
 
 def load_apart(path: Path) -> Edge:
-    """As `load`, at no lasting cost of memory: the parsers live and end in a child."""
+    """Like `load`, without lasting memory use: the parsers are imported in a child process only."""
     read, write = os.pipe()
     try:
         child = os.fork()
     except OSError:
-        # Refused where processes may not fork (the mass bench says ENOSYS): read here, keep the parsers.
+        # fork is not allowed everywhere (the mass benchmark returns ENOSYS): parse here and keep the parsers.
         os.close(read)
         os.close(write)
         return load(path)
@@ -93,13 +94,13 @@
         try:
             os.close(read)
             try:
-                answer: Edge | StackrouterError = load(path)
+                result: Edge | StackrouterError = load(path)
             except StackrouterError as error:
-                answer = error
+                result = error
             except ImportError as error:
-                answer = MissingExtraError(f"needs {error.name}: install stackrouter[edge]", file=path)
+                result = MissingExtraError(f"needs {error.name}: install stackrouter[edge]", file=path)
             with os.fdopen(write, "wb") as pipe:
-                pickle.dump(answer, pipe)
+                pickle.dump(result, pipe)
             code = 0
         finally:
             os._exit(code)
@@ -108,8 +109,8 @@
         data = pipe.read()
     os.waitpid(child, 0)
     if not data:
-        raise EdgeReaderError("the reader of it failed", file=path)
-    loaded = pickle.loads(data)  # from our own child alone
+        raise EdgeReaderError("the process that reads the file failed", file=path)
+    loaded = pickle.loads(data)  # written only by our own child process
     if isinstance(loaded, StackrouterError):
         raise loaded
     assert isinstance(loaded, Edge)
--- a/stackrouter/edge/wiring.py
+++ b/stackrouter/edge/wiring.py
@@ -1,4 +1,4 @@
-"""Puts what the operator's file turns on round the engine. Imported only where there is such a file."""
+"""Sets up the optional parts that the operator's file enables. Imported only where there is such a file."""
 
 from __future__ import annotations
 
@@ -41,11 +41,14 @@
 
 logger = logging.getLogger(__name__)
 
-FLUSH_S = 1.0  # a trace is written at least this often: what a crash may cost
+FLUSH_INTERVAL_S = 1.0  # maximum time between trace writes, and thus the most that a crash may lose
 
 
 class Extras:
-    """A ConfigError: the file cannot be used, or a part of it needs what is not installed."""
+    """The optional parts of one gateway.
+
+    Raises ConfigError if the file is not valid or if an enabled part needs a library that is not installed.
+    """
 
     def __init__(self, path: str, config: Config) -> None:
         self.edge: Edge = load_apart(Path(path))
@@ -56,15 +59,15 @@
         self.member: Member | None = None
         self.calls: PolicyCalls | None = None
         self.control: GatewayControl | None = None
-        self._due = Event()  # a block's worth of facts waits to be written
+        self._flush_requested = Event()  # set when a full block of facts is ready to be written
         try:
             if self.edge.log.format != "plain":
                 log.start(self.edge.log.format, config.name)
-            self._make()
+            self._create_parts()
         except ImportError as error:
             raise MissingExtraError(f"needs {error.name}: install stackrouter[edge]", file=path) from None
 
-    def _make(self) -> None:
+    def _create_parts(self) -> None:
         edge, config = self.edge, self.config
         plans, classes = list(config.plans), list(config.classes)
         if edge.accounts.enabled:
@@ -80,22 +83,22 @@
             )
             file = Path(edge.trace.file)
             try:
-                file.open("ab").close()  # at the start, not once the engine runs
+                file.open("ab").close()  # fail at startup rather than while the engine runs
             except OSError as error:
                 raise TraceWriteError(error.strerror, file=file, key="trace.file") from None
             self.recorder = Recorder(Sink(file, header, edge.trace.most_mb << 20, edge.trace.keep))
 
     def coordinate(self, discovery: Discovery, counters: Counters, engine: Engine,
                    take_policy: Callable[[str], None]) -> None:  # fmt: skip
-        """Join the other gateways. A ConfigError: this one is no peer, or a library is missing."""
+        """Join the other gateways. Raises ConfigError if this one is not a peer or a library is missing."""
         if not self.edge.coordination.enabled:
             return
         try:
             from stackrouter.coord.calls import PolicyCalls
             from stackrouter.coord.join import join
         except ImportError as error:
-            what = f"needs {error.name}: install stackrouter[coord]"
-            raise MissingExtraError(what, key="coordination") from None
+            message = f"needs {error.name}: install stackrouter[coord]"
+            raise MissingExtraError(message, key="coordination") from None
 
         conf = self.edge.coordination
         self.member = join(conf, self.config.name, discovery, counters, take_policy)
@@ -105,24 +108,25 @@
 
     def observe(self, discovery: Discovery, counters: Counters, engine: Engine,
                 take_policy: Callable[[str], None]) -> None:  # fmt: skip
-        """Observe the control plane. A ConfigError: a library is missing, or the file is a replica's."""
+        """Observe the control plane. Raises ConfigError if a library is missing or the file is a replica's."""
         conf = self.edge.control
         if conf.listen:
-            what = "is for a replica: `stackrouter control serve FILE`"
-            raise EdgeValueError(what, key="control.listen")
+            message = "is for a replica: `stackrouter control serve FILE`"
+            raise EdgeValueError(message, key="control.listen")
         if not conf.enabled:
             return
         try:
             from stackrouter.controlplane.gateway import GatewayControl
         except ImportError as error:
-            what = f"needs {error.name}: install stackrouter[coord]"
-            raise MissingExtraError(what, key="control") from None
+            message = f"needs {error.name}: install stackrouter[coord]"
+            raise MissingExtraError(message, key="control") from None
 
         self.control = GatewayControl(self.config.name, conf, discovery, counters, take_policy)
         engine.held = self.control.holds_back
         self.control.start()
 
     def policy_in_force(self) -> bool:
+        """Whether a policy of the fleet overrides the settings of the configuration file."""
         policy_state: PolicyStateMachine | None = None
         if self.control is not None:
             policy_state = self.control.policy
@@ -131,44 +135,45 @@
         return policy_state is not None and policy_state.serving.number > 0
 
     def not_ready(self) -> str:
-        """Why the door may not say yes; empty: it may."""
+        """Reason why this gateway is not ready, for the admin socket; empty if it is ready."""
         if self.control is not None:
             return self.control.not_ready()
         return self.member.not_ready() if self.member is not None else ""
 
     def control_status(self) -> str:
-        """The door's answer to `control status`."""
+        """Answer of the admin socket to `control status`."""
         if self.control is None:
             return f"FAILURE {NoControlError('this gateway observes no control plane').coded()}"
         return self.control.status()
 
     def policy_call(self, call: str) -> str:
-        """The door's answer to `policy ...`."""
+        """Answer of the admin socket to `policy ...`."""
         if self.calls is None:
-            return f"FAILURE {NoPolicyError('no policy of a fleet is kept here').coded()}"
+            return f"FAILURE {NoPolicyError('this gateway keeps no policy of a fleet').coded()}"
         return self.calls.answer(call)
 
     def leave(self) -> None:
-        """This gateway stops: its duties are given back at once, so that nobody waits for them to lapse."""
+        """Release this gateway's duties when it stops, so that others need not wait until the leases expire."""
         if self.member is not None:
             self.member.leave()
 
     def attach(self, engine: Engine, pool: Pool) -> None:
+        """Subscribe accounts and trace to the engine's facts."""
         subscribers = [s for s in (self.live, self.recorder) if s is not None]
         for subscriber in subscribers:
             engine.subscribe(subscriber)
         if subscribers:
             pool.written = engine.written
         if self.recorder is not None:
-            self.recorder.on_block = self._due.set
-            gevent.spawn(self._write, self.recorder)
+            self.recorder.on_block = self._flush_requested.set
+            gevent.spawn(self._write_trace, self.recorder)
 
-    def _write(self, recorder: Recorder) -> None:
-        """The disk may block: it does so in a thread."""
+    def _write_trace(self, recorder: Recorder) -> None:
+        """Write the trace in a thread, since the disk may block."""
         threads = gevent.get_hub().threadpool
         while True:
-            self._due.wait(FLUSH_S)
-            self._due.clear()
+            self._flush_requested.wait(FLUSH_INTERVAL_S)
+            self._flush_requested.clear()
             threads.apply(recorder.flush, (True,))
 
     def print_figures(self) -> None:
