--- a/stackrouter/accounts/book.py
+++ b/stackrouter/accounts/book.py
@@ -55,11 +55,11 @@
         """The slot of a time. Times before the first one seen belong to the first slot."""
         if self.begin < 0:
             self.begin = when
-        while (place := max(0, when - self.begin) // self.slot_us) >= MAX_SLOTS:
+        while (index := max(0, when - self.begin) // self.slot_us) >= MAX_SLOTS:
             self._merge_neighbours()
-        while len(self.slots) <= place:
+        while len(self.slots) <= index:
             self.slots.append(Slot())
-        return self.slots[place]
+        return self.slots[index]
 
     def _merge_neighbours(self) -> None:
         self.slot_us *= 2
--- a/stackrouter/edge/load.py
+++ b/stackrouter/edge/load.py
@@ -23,7 +23,7 @@
 
 
 def parse(text: str, name: str) -> Edge:
-    """Raises EdgeError if the text does not match the schema or a value is out of bounds."""
+    """Parse and validate the text of the file called `name`. Raises EdgeError if it is not valid."""
     from google.protobuf import json_format, text_format
     from pydantic import TypeAdapter, ValidationError
 
@@ -69,7 +69,7 @@
 
 
 def load(path: Path) -> Edge:
-    """Raises EdgeError if the file cannot be read or is not valid."""
+    """Read, parse and validate a file. Raises EdgeError if it cannot be read or is not valid."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
--- a/stackrouter/edge/wiring.py
+++ b/stackrouter/edge/wiring.py
@@ -108,7 +108,7 @@
 
     def observe(self, discovery: Discovery, counters: Counters, engine: Engine,
                 take_policy: Callable[[str], None]) -> None:  # fmt: skip
-        """Observe the control plane; raises ConfigError if a library is missing or the file is a replica's."""
+        """Observe the control plane. Raises ConfigError for a missing library or the file of a replica."""
         conf = self.edge.control
         if conf.listen:
             message = "is for a replica: `stackrouter control serve FILE`"
--- a/stackrouter/sharing/account.py
+++ b/stackrouter/sharing/account.py
@@ -57,7 +57,7 @@
             case RecordKind.CLAIM:
                 self.buckets.spend(part, record.units, self._now)
             case RecordKind.RETURN:
-                # Older claims are not credited: the store may have been refilled to its depth meanwhile.
+                # Units claimed longer ago are not credited: the store may be full again and has lost them.
                 if self._now - record.at_us <= CHARGE_MAX_AGE_US:
                     self.buckets.add(part, record.units, self._now)
             case RecordKind.LEVEL:
--- a/tests/test_limits_at_upgrade.py
+++ b/tests/test_limits_at_upgrade.py
@@ -7,8 +7,8 @@
 tolerance that an earlier process had already spent.
 
 Reproduced with one gateway of real processes at 40 units per second: a volume's store, as seen by the node,
-fell to 92 units below zero where 14 are allowed, first while two processes ran. With restarts of one process at
-a time it never fell below zero.
+fell to 92 units below zero where 14 are allowed, first while two processes ran. With restarts of one process
+at a time it never fell below zero.
 """
 
 from __future__ import annotations
--- a/tests/upgrade_cases.py
+++ b/tests/upgrade_cases.py
@@ -50,7 +50,7 @@
 
 
 def _run_case(upgrade: Callable[[UpgradeRig, GatewayProcess, Random, _Overlaps], GatewayProcess],
-          seed: int, upgrades: int = UPGRADES) -> CaseResult:  # fmt: skip
+              seed: int, upgrades: int = UPGRADES) -> CaseResult:  # fmt: skip
     random = Random(seed)
     with UpgradeRig(seed) as rig:
         overlaps = _Overlaps(rig, [])
--- a/tests/upgrade_rig.py
+++ b/tests/upgrade_rig.py
@@ -52,7 +52,7 @@
 
 
 def lowest_level(arrivals: Iterable[Arrival], volume: str) -> float:
-    """The lowest level of the volume's store, which is full at first and refills at the limit's rate."""
+    """The lowest level of the volume's store, full at first and refilled to the burst at the limit's rate."""
     level = lowest = BURST_UNITS
     since = -math.inf
     for arrival in sorted((a for a in arrivals if a.volume == volume), key=lambda a: a.at):
