--- a/stackrouter/coord/calls.py
+++ b/stackrouter/coord/calls.py
@@ -1,9 +1,8 @@
-"""The operators' door, part `policy`: what it answers to `policy status`, `propose BASE FILE`, `rollback
-BASE`.
+"""The admin socket's `policy` calls: `policy status`, `policy propose BASE FILE`, `policy rollback BASE`.
 
-A change is checked here, by the same rules as a file at SIGHUP, before anybody else hears of it. BASE is the
-newest version that the caller knows of: if another change came first, the call is refused and changes
-nothing.
+A change is validated here, by the same rules as a file at SIGHUP, before it is submitted to the group. BASE
+is the newest version that the caller knows of: if another change was committed first, the call is refused and
+changes nothing.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 from pathlib import Path
 
 from stackrouter.config import with_policy
-from stackrouter.coord.ledger import MOST_BODY
+from stackrouter.coord.ledger import MAX_POLICY_SIZE
 from stackrouter.coord.member import Member
 from stackrouter.coord.policy import OWN
 from stackrouter.coord.port import UNKNOWN, Propose, ServingReport
@@ -30,15 +29,18 @@
     PolicyVersionError,
 )
 
-ANSWER_S = 0.8  # the door's answer is due within 1 s
+ANSWER_S = 0.8  # the admin socket has to answer within 1 s
 USAGE = "policy status | policy propose BASE FILE | policy rollback BASE"
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyStatus:
-    """What the door answers to `policy status`, as JSON. `version`: the newest committed; `members`: what
-    each serves under and for how many seconds; `versions`: number, digest, who proposed it; `replicas`: by
-    control replica, what its gateways served under when it last told."""
+    """The answer to `policy status`, written as JSON.
+
+    `version`: the newest committed version; `members`: by member, the version it serves under and for how
+    many seconds; `versions`: number, digest and proposer; `replicas`: by control replica, what its gateways
+    served under at its last report.
+    """
 
     version: int
     serving: int
@@ -51,14 +53,18 @@
 
 
 class PolicyCalls:
-    """`check` raises a ConfigError for a policy that gateways cannot take. `reports`: what the control
-    replicas told of their gateways; none where gateways are members."""
+    """Answers the `policy` calls.
+
+    `check` raises a ConfigError for a policy that gateways cannot apply. `reports`: the control replicas'
+    reports on their gateways; empty where the gateways themselves are members.
+    """
 
     def __init__(self, member: Member, after_us: int, check: Callable[[str], object] = with_policy,
                  reports: Callable[[], dict[str, ServingReport]] = dict) -> None:  # fmt: skip
         self._member, self._after_us, self._check, self._reports = member, after_us, check, reports
 
     def answer(self, call: str) -> str:
+        """The answer to one call line; it begins with SUCCESS or FAILURE."""
         try:
             match call.split(maxsplit=3):
                 case [_, "status"]:
@@ -66,7 +72,7 @@
                 case [_, "propose", base, file] if base.isdigit():
                     return self._propose(int(base), canonical(_read(file)))
                 case [_, "rollback", base] if base.isdigit():
-                    return self._propose(int(base), self._before(int(base)))
+                    return self._propose(int(base), self._previous_body(int(base)))
         except (PolicyError, ConfigError) as error:
             return f"FAILURE {error.coded()}"
         return f"FAILURE {DoorCallError(f'usage: {USAGE}').coded()}"
@@ -76,7 +82,7 @@
         assert policy_state is not None
         versions = member.store.policies()
         now = member.clock()
-        told = PolicyStatus(
+        status = PolicyStatus(
             version=versions[-1].number if versions else OWN,
             serving=policy_state.serving.number,
             since_s=round((now - policy_state.since) / 1e6, 1),
@@ -86,9 +92,9 @@
             versions=[(v.number, v.digest[:12], v.by) for v in versions],
             replicas=self._reports(),
         )
-        return json.dumps(asdict(told), separators=(",", ":"))
+        return json.dumps(asdict(status), separators=(",", ":"))
 
-    def _before(self, base: int) -> str:
+    def _previous_body(self, base: int) -> str:
         versions = {v.number: v for v in self._member.store.policies()}
         if base not in versions:
             raise PolicyVersionError(f"version {base} is not known here")
@@ -100,23 +106,23 @@
         self._check(body)
         digest = hashlib.sha256(body.encode()).hexdigest()
         command = Propose(self._member.name, base, digest, body, self._after_us)
-        why = self._member.ask_and_wait(command, ANSWER_S)
-        if why is None or why == UNKNOWN:
+        reason = self._member.ask_and_wait(command, ANSWER_S)
+        if reason is None or reason == UNKNOWN:
             raise PolicyUnknownError("not known whether it was committed: see policy status")
-        if why == "base":
-            what = f"another change came first: version {base} is not the newest, see policy status"
-            raise PolicyBaseError(what)
-        if why:
-            raise PolicyRefusedError(f"not committed: {why}")
+        if reason == "base":
+            message = f"another change came first: version {base} is not the newest, see policy status"
+            raise PolicyBaseError(message)
+        if reason:
+            raise PolicyRefusedError(f"not committed: {reason}")
         return f"SUCCESS version={base + 1} digest={digest[:12]} in force in {self._after_us / 1e6:g} s"
 
 
 def canonical(text: str) -> str:
-    """The settings alone, written in one way, so that the same settings have the same digest."""
+    """The settings alone in canonical JSON, so that equal settings have equal digests."""
     try:
         return json.dumps({"settings": json.loads(text)["settings"]}, sort_keys=True, indent=1)
     except (ValueError, KeyError, TypeError) as error:
-        raise PolicyFileError(f"policy: key settings is missing or the file is no JSON: {error}") from None
+        raise PolicyFileError(f"policy: key settings is missing or the file is not JSON: {error}") from None
 
 
 def _read(file: str) -> str:
@@ -124,6 +130,6 @@
         text = Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise PolicyFileError(error, file=file) from None
-    if len(text) > MOST_BODY:
-        raise PolicyFileError(f"more than {MOST_BODY} bytes", file=file)
+    if len(text) > MAX_POLICY_SIZE:
+        raise PolicyFileError(f"more than {MAX_POLICY_SIZE} bytes", file=file)
     return text
--- a/stackrouter/coord/drill.py
+++ b/stackrouter/coord/drill.py
@@ -1,11 +1,11 @@
-"""For drills: while this member holds a duty it sends an action with its token to a receiver, again and
-again.
-
-Between looking whether it may act and acting lies some work, as in life: a member that is stopped just then
-acts late, and the receiver has to refuse it by its token. A line is `duty token life looked_at`, the last in
-nanoseconds of the machine's own monotonic clock, whatever the member's lease clock shows. Where a policy is
-kept, it also says under which version a request that came now would be served: `serve version life
-looked_at digest`.
+"""Drill mode for fault-injection runs: while this member holds a duty, it repeatedly sends an action with its
+token to a receiver.
+
+Between the check whether it may act and the action it waits for a while, as real work would: a member that is
+paused in between acts late, and the receiver has to reject the action by its token. A line is
+`duty token life looked_at`; `looked_at` is in nanoseconds of the machine's monotonic clock, independent of
+the member's lease clock. If a policy is kept, the member also reports the version under which a request that
+arrived now would be served: `serve version life looked_at digest`.
 """
 
 from __future__ import annotations
@@ -22,6 +22,8 @@
 
 
 class Drill:
+    """Sends the drill's lines to `receiver` every `every_s`; `work_s`: time between check and action."""
+
     def __init__(self, member: Member, receiver: tuple[str, int], every_s: float, work_s: float) -> None:
         self._member, self._receiver = member, receiver
         self._every_s, self._work_s = every_s, work_s
@@ -34,21 +36,21 @@
             with contextlib.suppress(OSError), socket.create_connection(self._receiver) as sock:
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 while True:
-                    self._serve(sock)
+                    self._send_served_version(sock)
                     for duty in DUTIES:
-                        self._act(sock, duty)
+                        self._send_action(sock, duty)
                     gevent.sleep(self._every_s)
             gevent.sleep(RETRY_S)
 
-    def _act(self, sock: socket.socket, duty: str) -> None:
-        token = self._member.acting(duty)
+    def _send_action(self, sock: socket.socket, duty: str) -> None:
+        token = self._member.fencing_token(duty)
         if token is None:
             return
         looked_at = time.monotonic_ns()
         gevent.sleep(self._work_s)
         sock.sendall(f"{duty} {token} {self._member.life} {looked_at}\n".encode())
 
-    def _serve(self, sock: socket.socket) -> None:
+    def _send_served_version(self, sock: socket.socket) -> None:
         policy_state = self._member.policy_state
         if policy_state is None or self._member.holds_back():
             return
--- a/stackrouter/coord/etcd.py
+++ b/stackrouter/coord/etcd.py
@@ -1,13 +1,13 @@
-"""The second adapter: a store that is there, by etcd v3's published lease and transaction API (its JSON
-gateway).
+"""The second adapter: an existing etcd cluster, used through etcd v3's public lease and transaction API (its
+JSON gateway).
 
-What the API gives, and how it is used (etcd's API reference, v3):
+How the API is used (etcd's API reference, v3):
 
-- A duty is a key that is bound to a lease of the store; the store deletes it when the lease is not kept
-  alive. Its `create_revision` grows with every revision of the store: it is the fencing token.
-- Each change is one transaction that compares what it builds on: a duty is taken only where its key is absent
-  (create_revision 0), a listing is put only under the token that the duty's key still has.
-- The state is read again every POLL_S; a call that fails goes to the next address.
+- A duty is a key that is attached to an etcd lease; etcd deletes the key when the lease is not kept alive.
+  The key's `create_revision` grows with every revision of the store: it is the fencing token.
+- Each change is one transaction that compares the state it depends on: a duty is acquired only if its key is
+  absent (create_revision 0), a listing is put only while the duty's key has the publisher's token.
+- The state is read again every POLL_S; after a failed call the next address is used.
 
 The calls block, so they are made in a thread of their own, through the client library.
 """
@@ -58,31 +58,31 @@
 log = logging.getLogger(__name__)
 
 POLL_S = 0.2
-CALL_S = 1.0  # longest that one call may take
-MOST_QUEUED = 1000
-MOST_EVENTS = 10_000
-TRIES = 3  # of an entry of the log, where others append at the same time
+CALL_TIMEOUT_S = 1.0
+MAX_QUEUED_COMMANDS = 1000
+MAX_EVENTS = 10_000
+MAX_APPEND_ATTEMPTS = 3  # concurrent appends by other members make an attempt fail
 
 
 class Etcd:
-    """The port on etcd. A ttl is whole seconds there: a part of one counts as one more."""
+    """The coordination port on etcd. etcd's ttl is in whole seconds: `ttl_us` is rounded up."""
 
     store_expires = True
 
     def __init__(self, addresses: Sequence[tuple[str, int]], prefix: str, ttl_us: int) -> None:
-        self._clients = deque(Etcd3Client(host, port, timeout=CALL_S) for host, port in addresses)
+        self._clients = deque(Etcd3Client(host, port, timeout=CALL_TIMEOUT_S) for host, port in addresses)
         self._prefix, self._ttl_s = prefix, -(-ttl_us // 1_000_000)
-        self._commands: queue.Queue[tuple[int, Command]] = queue.Queue(MOST_QUEUED)
-        self._events: deque[Event] = deque(maxlen=MOST_EVENTS)
+        self._commands: queue.Queue[tuple[int, Command]] = queue.Queue(MAX_QUEUED_COMMANDS)
+        self._events: deque[Event] = deque(maxlen=MAX_EVENTS)
         self._held: dict[str, StoreLease] = {}
         self._leases: dict[str, Lease] = {}
         self._listings = Listings()
         self._listing_revision = 0
-        self._entry = 0
+        self._last_entry = 0
         self._policies: list[Version] = []
-        self._present: dict[str, tuple[int, int]] = {}
+        self._members_serving: dict[str, tuple[int, int]] = {}
         self._active, self._active_revision = 0, 0
-        self._asked = 0
+        self._last_number = 0
         self._reachable = False
         self._closing = threading.Event()
         self._thread = threading.Thread(target=self._run, name="coord-etcd", daemon=True)
@@ -93,12 +93,12 @@
         self._thread.start()
 
     def ask(self, command: Command) -> int:
-        self._asked += 1
+        self._last_number += 1
         try:
-            self._commands.put_nowait((self._asked, command))
+            self._commands.put_nowait((self._last_number, command))
         except queue.Full:
-            self._hear(Answered(self._asked, False, None, "queue full"))
-        return self._asked
+            self._emit(Answered(self._last_number, False, None, "queue full"))
+        return self._last_number
 
     def events(self) -> list[Event]:
         return [self._events.popleft() for _ in range(len(self._events))]
@@ -111,7 +111,7 @@
         return list(self._policies)
 
     def present(self) -> dict[str, tuple[int, int]]:
-        return dict(self._present)
+        return dict(self._members_serving)
 
     def members(self) -> list[MemberView]:
         return [MemberView(c.host, f"{c.host}:{c.port}", self._reachable and i == 0)
@@ -120,9 +120,9 @@
     def close(self) -> None:
         self._closing.set()
         if self._thread.ident is not None:
-            self._thread.join(timeout=CALL_S)
+            self._thread.join(timeout=CALL_TIMEOUT_S)
 
-    def _hear(self, event: Event) -> None:
+    def _emit(self, event: Event) -> None:
         self._events.append(event)
         self._wake()
 
@@ -137,7 +137,7 @@
                 number, command = self._commands.get(timeout=POLL_S)
                 why = self._carry_out(command)
                 lease = self._leases.get(getattr(command, "duty", ""))
-                self._hear(Answered(number, not why, lease, why))
+                self._emit(Answered(number, not why, lease, why))
             except queue.Empty:
                 continue
             except (Etcd3Exception, ValueError, KeyError, OSError) as error:
@@ -145,12 +145,12 @@
                 self._clients.rotate(-1)
                 tell(log, StoreError(error), "coordination")
                 if number is not None:
-                    self._hear(Answered(number, False, None, UNKNOWN))
+                    self._emit(Answered(number, False, None, UNKNOWN))
                 else:
                     self._closing.wait(POLL_S)
 
     def _carry_out(self, command: Command) -> str:
-        """Why it was refused; empty: it took hold."""
+        """Why the command was refused; empty: it was applied."""
         match command:
             case Acquire():
                 return self._acquire(command)
@@ -187,7 +187,7 @@
             case Append():
                 return self._append(command)
             case BeginHistory() | Barrier():
-                return "store"  # a control plane's replicas are voters of a group of their own
+                return "store"  # only a control plane's replicas submit these, and they form a Raft group
 
     def _acquire(self, command: Acquire) -> str:
         key = self._key(f"leases/{command.duty}")
@@ -203,19 +203,19 @@
         self._poll()
         if why := self._listings.refusal(command):
             return why
-        taken = Listings(self._listings.token, self._listings.index, dict(self._listings.items))
-        taken.take(command)
+        updated = Listings(self._listings.token, self._listings.index, dict(self._listings.items))
+        updated.take(command)
         key, lease = self._key("listing"), self._key(f"leases/{command.duty}")
-        value = _b64(json.dumps({"token": taken.token, "listing": taken.whole()}))
-        on = [_created(lease, command.token), _modified(key, self._listing_revision)]
-        if self._txn(on, [{"request_put": {"key": key, "value": value}}]):
+        value = _b64(json.dumps({"token": updated.token, "listing": updated.whole()}))
+        compare = [_created(lease, command.token), _modified(key, self._listing_revision)]
+        if self._txn(compare, [{"request_put": {"key": key, "value": value}}]):
             return ""
         return "token" if self._poll().get(command.duty) != command.token else "gap"
 
     def _append(self, command: Append) -> str:
-        for _ in range(TRIES):
+        for _ in range(MAX_APPEND_ATTEMPTS):
             self._poll()
-            key = self._key(f"log/{self._entry + 1:012d}")
+            key = self._key(f"log/{self._last_entry + 1:012d}")
             value = _b64(json.dumps([command.kind, command.member, command.body]))
             if self._txn([_created(key, 0)], [{"request_put": {"key": key, "value": value}}]):
                 return ""
@@ -249,42 +249,42 @@
         )
 
     def _poll(self) -> dict[str, int]:
-        """Read the state, say what is new; the duties' tokens."""
+        """Read the state and emit events for what changed. Returns the tokens of the held duties."""
         leases: dict[str, Lease] = {}
         active: ActiveSeen | None = None
-        for value, about in self._clients[0].get_prefix(self._prefix):
-            raw = about["key"]
+        for value, metadata in self._clients[0].get_prefix(self._prefix):
+            raw = metadata["key"]
             name = (raw.decode() if isinstance(raw, bytes) else raw).removeprefix(self._prefix)
             kind, _, rest = name.partition("/")
             if kind == "leases":
-                leases[rest] = Lease(rest, value.decode(), int(about["create_revision"]))
-            elif kind == "listing" and int(about["mod_revision"]) != self._listing_revision:
-                self._listing_revision = int(about["mod_revision"])
-                told = json.loads(value)
-                listing = told["listing"]
+                leases[rest] = Lease(rest, value.decode(), int(metadata["create_revision"]))
+            elif kind == "listing" and int(metadata["mod_revision"]) != self._listing_revision:
+                self._listing_revision = int(metadata["mod_revision"])
+                published = json.loads(value)
+                listing = published["listing"]
                 items = {item["name"]: item for item in listing["endpoints"]}
-                self._listings = Listings(int(told["token"]), int(listing["index"]), items)
-                self._hear(ListingSeen(int(told["token"]), None, listing))
+                self._listings = Listings(int(published["token"]), int(listing["index"]), items)
+                self._emit(ListingSeen(int(published["token"]), None, listing))
             elif kind == "policy" and int(rest) > (self._policies[-1].number if self._policies else 0):
                 version = Version(int(rest), *json.loads(value))
                 self._policies = [*self._policies[1 - MOST_VERSIONS :], version]
-                self._hear(PolicySeen(version))
-            elif kind == "active" and int(about["mod_revision"]) != self._active_revision:
-                self._active_revision, self._active = int(about["mod_revision"]), int(value)
+                self._emit(PolicySeen(version))
+            elif kind == "active" and int(metadata["mod_revision"]) != self._active_revision:
+                self._active_revision, self._active = int(metadata["mod_revision"]), int(value)
                 active = ActiveSeen(self._active)
             elif kind == "present":
-                self._present[rest] = tuple(json.loads(value))
-            elif kind == "log" and int(rest) > self._entry:
-                self._entry = int(rest)
-                self._hear(EntrySeen(self._entry, *json.loads(value)))
+                self._members_serving[rest] = tuple(json.loads(value))
+            elif kind == "log" and int(rest) > self._last_entry:
+                self._last_entry = int(rest)
+                self._emit(EntrySeen(self._last_entry, *json.loads(value)))
         if active is not None:
-            self._hear(active)  # after the version itself, which comes later in the keys' order
-        for duty in self._leases.keys() - leases.keys():  # released, or not kept alive: free
+            self._emit(active)  # after the version itself, which comes later in key order
+        for duty in self._leases.keys() - leases.keys():  # released or expired: free
             leases[duty] = Lease(duty, token=self._leases[duty].token)
         changed = [lease for duty, lease in leases.items() if self._leases.get(duty) != lease]
         self._leases, self._reachable = leases, True
         for lease in changed:
-            self._hear(LeaseSeen(lease))
+            self._emit(LeaseSeen(lease))
         return {duty: lease.token for duty, lease in leases.items() if lease.holder}
 
     def _key(self, name: str) -> str:
--- a/stackrouter/coord/fence.py
+++ b/stackrouter/coord/fence.py
@@ -1,22 +1,24 @@
-"""The receiving side's guard: an action of a duty that carries a lower token than one seen is refused.
+"""Fencing on the receiving side: rejects an action whose token is lower than one already seen for the duty.
 
-A holder may be stopped between looking at its clock and acting, for longer than its lease. Nothing that it
-can do itself helps then: only who receives the action knows that a later holder has been here. No I/O.
+A holder may be paused between checking its clock and acting, for longer than its lease lasts. It cannot
+detect this by itself; only the receiver of the action knows that a later holder has already acted. No I/O.
 """
 
 from __future__ import annotations
 
 
 class Fence:
-    """The highest token seen by duty, `most` duties at most (a sender that makes up duties is refused)."""
+    """The highest token seen for each duty, for at most `max_duties` duties: further ones are rejected, so
+    that a sender with invented duty names cannot exhaust memory."""
 
-    def __init__(self, most: int = 64) -> None:
-        self._most = most
-        self._seen: dict[str, int] = {}
+    def __init__(self, max_duties: int = 64) -> None:
+        self._max_duties = max_duties
+        self._highest: dict[str, int] = {}
 
     def admit(self, duty: str, token: int) -> bool:
-        seen = self._seen.get(duty, 0)
-        if token < max(seen, 1) or (duty not in self._seen and len(self._seen) >= self._most):
+        """Whether to accept an action; if so, lower tokens are rejected from now on."""
+        highest = self._highest.get(duty, 0)
+        if token < max(highest, 1) or (duty not in self._highest and len(self._highest) >= self._max_duties):
             return False
-        self._seen[duty] = token
+        self._highest[duty] = token
         return True
--- a/stackrouter/coord/join.py
+++ b/stackrouter/coord/join.py
@@ -1,4 +1,4 @@
-"""From the operator's file to a running member: which adapter, which times, which drill."""
+"""Builds a running member from the operator's configuration: adapter, lease times and drill."""
 
 from __future__ import annotations
 
@@ -23,20 +23,22 @@
 
 log = logging.getLogger(__name__)
 
-RENEWALS = 4  # asked for within the time that a lease may be acted under: three may be lost
+RENEWALS_PER_LEASE = 4  # sent while the lease is valid: three may be lost
 
 
 def timing(conf: Coordination, position: int, members: int) -> Timing:
-    """`position` among the members: each asks for a free duty a little later than the one before."""
+    """The lease times. `position`: index among the members; each requests a free duty a little later than the
+    previous one."""
     ttl_us, drift_us = conf.ttl_ms * 1000, conf.max_drift_ms * 1000
-    renew_us = (ttl_us - drift_us) // RENEWALS
+    renew_us = (ttl_us - drift_us) // RENEWALS_PER_LEASE
     stagger_us = position * min(20_000, ttl_us // 20 // max(1, members))
     return Timing(ttl_us, drift_us, renew_us, min(renew_us, 1_000_000), stagger_us)
 
 
 def join(conf: Coordination, name: str, discovery: Discovery, counters: Counters,
          take_policy: Callable[[str], None]) -> Member:  # fmt: skip
-    """A ConfigError: this gateway is not among the peers, or the journal's folder cannot be written."""
+    """Start this gateway's member. Raises a ConfigError if the gateway is not one of the peers, or if the
+    journal's folder cannot be written."""
     name = conf.member or name
     position = position_of(conf, name)
     rate = 1 + (conf.drill.clock_ppm / 1e6 if conf.drill else 0.0)
@@ -57,22 +59,23 @@
 
 
 def position_of(conf: Coordination, name: str) -> int:
-    """This member's place among the peers."""
+    """This member's index among the peers; 0 for a member of etcd that is not listed."""
     names = [peer.name for peer in conf.peer]
     if conf.store == "raft" and name not in names:
-        what = f"must be one of the peers ({', '.join(names)}), not {name!r}"
-        raise EdgeNameError(what, key="coordination.member")
+        message = f"must be one of the peers ({', '.join(names)}), not {name!r}"
+        raise EdgeNameError(message, key="coordination.member")
     return names.index(name) if name in names else 0
 
 
 def policy_rules(conf: Coordination) -> Rules:
-    """When a member may serve under which version, by the clocks' bounds."""
+    """The policy's heartbeat rules, with the drift bound scaled from the lease's ttl."""
     validity_us = conf.policy.touch_ms * 1000
     drift_us = validity_us * conf.max_drift_ms // conf.ttl_ms
     return Rules(validity_us, drift_us, conf.policy.on_loss == "refuse")
 
 
 def store(conf: Coordination, position: int) -> Store:
+    """The adapter that the configuration selects."""
     if conf.store == "etcd":
         from stackrouter.coord.etcd import Etcd
 
@@ -81,15 +84,15 @@
 
 
 def raft_store(conf: Coordination, position: int) -> Raft:
-    """The embedded adapter."""
+    """The embedded Raft adapter. Raises a ConfigError for an unusable folder or election timeout."""
     from stackrouter.coord.raft import Peer, Raft
 
     peers = [Peer(peer.name, peer.address, peer.dial) for peer in conf.peer]
-    me = peers[position]
+    local = peers[position]
     try:
-        return Raft(me, peers, conf.election_ms * 1000, Path(conf.folder))
+        return Raft(local, peers, conf.election_ms * 1000, Path(conf.folder))
     except OSError as error:
         raise FolderError(error.strerror, file=conf.folder, key="coordination.folder") from None
     except AssertionError:
-        what = "too short for the heartbeats within it"
-        raise TimesError(what, key="coordination.election_ms") from None
+        message = "too short for the heartbeats within it"
+        raise TimesError(message, key="coordination.election_ms") from None
--- a/stackrouter/coord/member.py
+++ b/stackrouter/coord/member.py
@@ -1,7 +1,7 @@
-"""One gateway's part in the fleet: joins the lease clients, the policy and the watch on one adapter.
+"""A gateway as a member of the fleet: runs the lease, policy and watch drivers on one adapter.
 
-The drivers know the store and a clock; this module alone, beside the adapters and `waiting_commands`, knows
-greenlets.
+The drivers use only the store and a clock; apart from the adapters and `waiting_commands`, only this module
+uses greenlets.
 """
 
 from __future__ import annotations
@@ -38,128 +38,129 @@
 
 WATCH, QUOTA = "watch", "quota"
 DUTIES = (WATCH, QUOTA)
-LONGEST_WAIT_S = 0.2
-SHORTEST_WAIT_S = 0.001
+MAX_WAIT_S = 0.2
+MIN_WAIT_S = 0.001
 DEFECT_PAUSE_S = 0.1
 
 
 def boottime_us(rate: float = 1.0) -> int:
-    """A clock that counts on while the machine is suspended, which CLOCK_MONOTONIC does not: a lease must not
-    outlive a suspension. Microseconds. `rate`: for drills, how fast it seems to run."""
+    """A clock in microseconds that keeps counting while the machine is suspended, which CLOCK_MONOTONIC does
+    not: a lease must not outlive a suspension. `rate`: simulated clock rate, for drills."""
     return int(time.clock_gettime_ns(time.CLOCK_BOOTTIME) * rate) // 1000
 
 
 class Member:
-    """`life`: a name that no other process has had under the same `name`; `term`: who leads, as last heard;
-    `duties`: those that this member may hold, `watch` among them."""
+    """One member of the fleet. `life`: `name` with a suffix unique to this process; `term`: term and leader
+    as last reported; `duties`: those that this member may hold, `watch` among them."""
 
     def __init__(self, name: str, store: Coordination, timing: Timing, stale_us: int, counters: Counters,
                  clock: Callable[[], int] = boottime_us, duties: Sequence[str] = DUTIES) -> None:  # fmt: skip
-        """`stale_us`: how long the holder of `watch` may be unheard of; `clock`: microseconds."""
-        # Another life under the same name must not pass for this one.
+        """`stale_us`: how long the holder of `watch` may be silent; `clock`: microseconds."""
+        # An earlier process with the same name must not be mistaken for this one.
         self.name, self.life = name, f"{name}#{os.getpid():x}.{time.time_ns() & 0xFFFFFFFF:x}"
         self.store, self.counters, self.clock = store, counters, clock
         self.term = TermSeen(0, "")
         self._leases = LeaseDriver(duties, self.life, store, timing, counters, clock)
         self._watch = WatchDriver(WATCH, self.life, store, self._leases, stale_us, counters, clock)
-        self._policy: PolicyDriver | None = None  # None: each member serves under its own file
+        self._policy: PolicyDriver | None = None  # None: each member serves under its own policy file
         self._commands = WaitingCommands(store)
         self._subscribers: list[Callable[[Event], None]] = []
-        self._due = Flag()
-        self._async: Any = gevent.get_hub().loop.async_()
-        self._async.start(self._due.set)
+        self._wake_event = Flag()
+        self._async_watcher: Any = gevent.get_hub().loop.async_()
+        self._async_watcher.start(self._wake_event.set)
         self._stopping = False
 
     def start(self) -> None:
-        """Take part from now on."""
-        self.store.start(self._async.send)
+        """Start the store and the member's loop."""
+        self.store.start(self._async_watcher.send)
         gevent.spawn(self._run)
 
     def join(self, discovery: Discovery) -> None:
-        """Let the fleet's watcher ask discovery for this gateway."""
+        """Let the fleet's watcher query discovery on behalf of this gateway."""
         self._watch.join(discovery)
         discovery.fleet = self
 
-    def subscribe(self, heard: Callable[[Event], None]) -> None:
-        """Have every event of the store told, in order, before this member acts on it."""
-        self._subscribers.append(heard)
+    def subscribe(self, handler: Callable[[Event], None]) -> None:
+        """Call `handler` with every event of the store, in order, before this member processes it."""
+        self._subscribers.append(handler)
 
     def keep_policy(self, rules: Rules, take: Callable[[str], None]) -> None:
-        """Serve under the fleet's policy. `take` makes a version's settings hold here, or raises."""
+        """Serve under the fleet's policy. `take` applies a version's settings here, or raises."""
         self._policy = PolicyDriver(self.name, self.store, rules, take, self.counters, self.clock)
 
     @property
     def policy_state(self) -> PolicyStateMachine | None:
-        """Which version is served under here; None: no policy is kept."""
+        """The state of the fleet's policy on this member; None: `keep_policy` was not called."""
         return None if self._policy is None else self._policy.state
 
     def holds_back(self) -> bool:
-        """Whether no new request may be taken now: this member cannot know what policy is in force."""
+        """Whether new requests must be refused now: this member cannot know which policy is in force."""
         return self._policy is not None and self._policy.holds_back()
 
     def not_ready(self) -> str:
-        """Why this member's door may not say yes; empty: it may."""
+        """Why this member is not ready, for the admin socket; empty: it is ready."""
         return "" if self._policy is None else self._policy.not_ready()
 
     def ask_and_wait(self, command: Command, within_s: float) -> str | None:
-        """Why a command was refused; empty: it took hold; None: not known within this time."""
+        """Submit a command and wait up to `within_s` seconds. Returns why it was refused; empty: it was
+        applied; None: no answer within that time."""
         return self._commands.ask_and_wait(command, within_s)
 
-    def acting(self, duty: str) -> int | None:
-        """The token to act under now, None: do not. To be asked right before each action of the duty."""
-        return self._leases.acting(duty)
+    def fencing_token(self, duty: str) -> int | None:
+        """The token to act under now; None: do not act. To be called right before each action of the duty."""
+        return self._leases.fencing_token(duty)
 
     def leave(self) -> None:
-        """Give back what is held, so that the next holder need not wait, and want nothing more."""
+        """Release all held duties, so that the next holder need not wait, and request none again."""
         self._leases.leave()
 
     def close(self) -> None:
-        """Leave, and take no further part."""
+        """Release all duties and stop the loop and the store."""
         self.leave()
         self._stopping = True
         self.store.close()
 
-    # What discovery asks of the fleet (net.discovery.Fleet).
+    # Implements net.discovery.Fleet.
 
     def wait_s(self) -> float:
-        """How long discovery need not be asked by this gateway; 0: it is to ask now."""
+        """How long this gateway need not query discovery; 0: query it now."""
         return self._watch.wait_s()
 
     def told(self, base: int | None, listing: dict[str, Any]) -> None:
-        """Discovery answered this gateway's own call."""
+        """Process discovery's answer to this gateway's own call."""
         self._watch.told(base, listing)
 
-    # The loop.
+    # The member's loop.
 
     def _run(self) -> None:
         while not self._stopping:
-            self._due.clear()
+            self._wake_event.clear()
             try:
                 self._step()
-            except Exception:  # coordination must never end the gateway: without it, it serves as it did
+            except Exception:  # a fault in coordination must not stop the gateway, which can serve without it
                 self.counters.add("errors.coord")
                 defect(log, "coordination")
                 gevent.sleep(DEFECT_PAUSE_S)
-            self._due.wait(self._pause_s())
+            self._wake_event.wait(self._pause_s())
 
     def _step(self) -> None:
         for event in self.store.events():
             for subscriber in self._subscribers:
                 subscriber(event)
-            self._heard(event)
+            self._dispatch(event)
         self._leases.tick()
         if self._policy is not None:
             self._policy.tick()
 
     def _pause_s(self) -> float:
-        """How long nothing is due, unless an event comes."""
+        """How long to wait for an event until something is due."""
         times = [at for at in (self._leases.next_at(),) if at is not None]
         if self._policy is not None:
             times.append(self._policy.next_at())
-        left_s = (min(times) - self.clock()) / 1e6 if times else LONGEST_WAIT_S
-        return min(LONGEST_WAIT_S, max(SHORTEST_WAIT_S, left_s))
+        left_s = (min(times) - self.clock()) / 1e6 if times else MAX_WAIT_S
+        return min(MAX_WAIT_S, max(MIN_WAIT_S, left_s))
 
-    def _heard(self, event: Event) -> None:
+    def _dispatch(self, event: Event) -> None:
         now = self.clock()
         match event:
             case Answered():
--- a/stackrouter/coord/port.py
+++ b/stackrouter/coord/port.py
@@ -1,8 +1,9 @@
-"""What a gateway asks of coordination, and what it hears. Both adapters speak these words.
+"""The coordination port: commands, events and the interface that both adapters implement.
 
-A command changes the fleet's ledger and is answered with whether it took hold. An answer may be lost (the
-leader died, the link was cut): the caller then asks again, and every command is written so that a late or a
-second taking does no harm. Times are microseconds of the caller's own clock and never travel.
+A command changes the fleet's ledger and is answered with whether it was applied. An answer may be lost (the
+leader died, the connection was cut): the caller then repeats the command, and every command is defined so
+that a delayed or repeated application does no harm. Times are microseconds of the caller's own clock and are
+never sent.
 """
 
 from __future__ import annotations
@@ -14,9 +15,7 @@
 from stackrouter.coord.policy import Version
 
 NOBODY = ""
-UNKNOWN = (
-    "unknown"  # why of an answer that says nothing: the leader changed, and the command may have taken hold
-)
+UNKNOWN = "unknown"  # `why` of an answer without a result: the leader changed, and the command may be applied
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,13 +29,13 @@
 
     @property
     def mark(self) -> tuple[int, int]:
-        """Changes whenever the lease does: who wants to take over names the mark it saw stand still."""
+        """Changes whenever the lease does: a takeover names the mark that was seen unchanged."""
         return self.token, self.seq
 
 
 @dataclass(frozen=True, slots=True)
 class Acquire:
-    """Take the duty if its mark is still `over`: it is free, or its holder has let it lapse."""
+    """Acquire the duty if its mark is still `over`: it is free, or its holder has let the lease lapse."""
 
     duty: str
     member: str
@@ -59,8 +58,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """Discovery's answer for all members. `base`: the version that it tells what came after; None: it is
-    whole. `listing`: discovery's own JSON (index, snapshot, endpoints)."""
+    """Publish discovery's answer to all members. `base`: the version of the list that the changes follow;
+    None: the list is whole. `listing`: discovery's own JSON (index, snapshot, endpoints)."""
 
     duty: str
     member: str
@@ -71,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """One entry of the replicated log, in the order in which all members see it."""
+    """Append one entry to the replicated log; all members see its entries in the same order."""
 
     kind: str
     member: str
@@ -80,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Make this the next version of the policy, if `base` is the newest there is."""
+    """Commit this as the next version of the policy, if `base` is the newest committed one."""
 
     member: str
     base: int
@@ -91,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Activate:
-    """The version's delay is over by this member's clock: it holds from this entry on."""
+    """Activate a version whose delay has passed by this member's clock: it is in force from this entry on."""
 
     member: str
     number: int
@@ -99,8 +98,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Present:
-    """This member is here and has served under this version for so long. Its answer says that the group still
-    hears it."""
+    """A member's heartbeat: it has served under version `serving` for `for_s` seconds. The answer shows that
+    the member can still commit through the group."""
 
     member: str
     serving: int
@@ -109,8 +108,8 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginHistory:
-    """Give the group's history its identity: random, set once, later ones are refused. Changes are numbered
-    from here on. Voters of one group all understand this command before one of them hands it in."""
+    """Set the identity of the group's history: random, set once, later ones are refused. Changes are numbered
+    from here on. All voters of a group must support this command before one of them submits it."""
 
     member: str
     identity: str
@@ -118,8 +117,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ServingReport:
-    """What the gateways of one replica serve under. `by_version`: policy version and number of gateways;
-    `behind`: names of some gateways that serve under an older version than the active one. Both bounded."""
+    """Which versions the gateways of one replica serve under. `by_version`: policy version and number of
+    gateways; `behind`: names of some gateways that serve under a version older than the active one. Both are
+    bounded."""
 
     gateways: int = 0
     by_version: tuple[tuple[int, int], ...] = ()
@@ -129,7 +129,7 @@
 @dataclass(frozen=True, slots=True)
 class Barrier:
     """A read barrier of a replica: its answer gives the position up to which the replica has applied the log,
-    which includes all that was committed before the command was handed in."""
+    which includes everything committed before the command was submitted."""
 
     member: str
     report: ServingReport = ServingReport()  # noqa: RUF009 - frozen
@@ -140,16 +140,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LogPosition:
-    """A place in the numbered changes of one history. Numbers of two histories are never compared."""
+    """A position in the numbered changes of one history. Numbers of two histories are never compared."""
 
-    history: str = ""  # empty: none was begun
+    history: str = ""  # empty: no history was begun
     number: int = 0  # of the last change that is included
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerState:
-    """What observers of the ledger know as of `position`. `nodes`: discovery's JSON items, those that were
-    removed included; `nodes_index`: discovery's version of the list, -1: there is no list."""
+    """The ledger's state at `position`, as observers need it. `nodes`: discovery's JSON items, including
+    removed ones; `nodes_index`: discovery's version of the list, -1: there is no list."""
 
     position: LogPosition
     policies: tuple[Version, ...]
@@ -160,24 +160,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The command with this number took hold or was refused (`why` says by what rule, or what was lost)."""
+    """The command with this number was applied or refused (`why`: the violated rule, or the failure)."""
 
     number: int
     accepted: bool
     lease: Lease | None
     why: str = ""
-    position: LogPosition | None = None  # of a Barrier: where the ledger stood as it was applied here
+    position: LogPosition | None = None  # of a Barrier: the ledger's position when it was applied here
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseSeen:
+    """The ledger's record of a duty changed."""
+
     lease: Lease
 
 
 @dataclass(frozen=True, slots=True)
 class ListingSeen:
-    """A listing was published; `listing` is what was new, `base` as in Publish. `number`: of this change, 0
-    where the changes are not numbered (no history was begun)."""
+    """A listing was published; `listing` and `base` as in Publish. `number`: of this change, 0 if changes are
+    not numbered (no history was begun)."""
 
     token: int
     base: int | None
@@ -187,6 +189,8 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySeen:
+    """An entry was appended to the replicated log."""
+
     index: int
     kind: str
     member: str
@@ -195,7 +199,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TermSeen:
-    """Who leads the group now, as far as this member knows; NOBODY while nobody does."""
+    """The group's leader as far as this member knows; NOBODY while there is none."""
 
     term: int
     leader: str
@@ -219,15 +223,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryBegun:
-    """The group's history has its identity; its changes are numbered from 1."""
+    """The group's history was given its identity; its changes are numbered from 1."""
 
     identity: str
 
 
 @dataclass(frozen=True, slots=True)
 class StateReplaced:
-    """The whole state as of now, in place of changes that were not told one by one (a snapshot of the library
-    was loaded), or because it was asked for. Later events build on it."""
+    """The whole current state, in place of changes that were not reported one by one (the Raft library loaded
+    a snapshot), or because it was requested. Later events build on it."""
 
     state: LedgerState
 
@@ -247,34 +251,36 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
+    """A member of the group, and whether this one is connected to it."""
+
     name: str
     address: str
     connected: bool
 
 
 class Coordination(Protocol):
-    """`store_expires`: whether the store itself ends a lease that is not renewed (etcd does). If not, who
-    wants the duty watches its mark stand still for a whole ttl."""
+    """The interface of an adapter. `store_expires`: whether the store itself expires a lease that is not
+    renewed (etcd does). If not, a member takes over a duty once its mark is unchanged for a whole ttl."""
 
     store_expires: bool
 
     def start(self, wake: Callable[[], None]) -> None:
-        """Begin; `wake` is called, from any thread, whenever `events` has something."""
+        """Start; `wake` is called, from any thread, whenever `events` has something to return."""
 
     def ask(self, command: Command) -> int:
-        """Hand in a command and return its number at once; its answer may never come."""
+        """Submit a command and return its number at once; the answer may never come."""
 
     def events(self) -> list[Event]:
-        """What was heard since the last call, in order."""
+        """The events since the last call, in order."""
 
     def listing(self) -> tuple[int, dict[str, Any]] | None:
-        """Token and whole list of storage nodes as last published; None: none was."""
+        """Token and whole list of storage nodes as last published; None: none was published."""
 
     def policies(self) -> list[Version]:
         """The newest committed versions, oldest first."""
 
     def present(self) -> dict[str, tuple[int, int]]:
-        """By member, the version that it said it serves under last, and for how many seconds."""
+        """By member, the version it last reported to serve under, and for how many seconds."""
 
     def members(self) -> list[MemberView]: ...
 
--- a/stackrouter/coord/raft.py
+++ b/stackrouter/coord/raft.py
@@ -1,17 +1,19 @@
-"""The embedded adapter: the gateways form a Raft group among themselves, through PySyncObj.
+"""The embedded adapter: the gateways form a Raft group among themselves, using PySyncObj.
 
-The library elects, replicates, keeps its journal on disk and compacts it; what is replicated is
-`ledger.Ledger`. It runs in a thread of its own, with sockets and timers of its own: the gateway's greenlets
-hand commands in through its queue, and hear of what was applied through `events` after `wake`.
+The library does leader election, replication, and the journal on disk with its compaction; the replicated
+state machine is `ledger.Ledger`. It runs in a thread of its own, with its own sockets and timers: the
+gateway's greenlets submit commands through its queue, and read the resulting events from `events` after
+`wake`.
 
-Guards round the library, each for what was seen on the fault rig or read in its documentation:
+Workarounds for the library, each for a fault seen on the fault-injection rig or read in its documentation:
 
-- a bind that fails would be tried without a pause, so it is looked at before;
+- the library would retry a failed bind without a pause, so the address is tested first;
 - a command's answer may never come when a connection breaks, so nothing here waits for one;
-- entries are sent in batches, once a heartbeat. Sent with each command, two are under way at once to a
-  follower whose log has branched off, and the refusal of the later one undoes what the refusal of the
-  earlier one found out: the group commits nothing for as long as commands come (8 s and more on the rig);
-- a peer that connects anew ends its older connection here, whose late bytes would be taken for new ones.
+- entries are sent in batches, once per heartbeat. If they were sent with each command, two messages would be
+  in flight to a follower whose log has diverged, and its rejection of the later one would reset the progress
+  made with the earlier one: the group commits nothing as long as commands arrive (8 s and more on the rig);
+- when a peer reconnects, its older connection here is closed: bytes that arrive late on it would be taken for
+  new ones.
 """
 
 from __future__ import annotations
@@ -54,25 +56,26 @@
 
 log = logging.getLogger(__name__)
 
-# Ticks an election timeout: the library looks at its deadlines once a tick, and members whose deadlines fall
-# into the same one split the vote.
-TICKS = 30
-BIND_S = 0.5  # between attempts to take the address: at an upgrade the old process still has it
-HEARTBEATS = 16  # in an election timeout
-# Heartbeats that every member waits for at least (the library asks for more than three). Timeouts are drawn
-# from there on: the wider they lie apart, the fewer elections end with a split vote.
-SHORTEST = 3.2
+# The library checks its deadlines once per tick; members whose deadlines fall into the same tick split the
+# vote.
+TICKS_PER_ELECTION_TIMEOUT = 30
+BIND_RETRY_S = 0.5  # the old process still holds the address during an upgrade
+HEARTBEATS_PER_ELECTION_TIMEOUT = 16
+# Lower bound of the random election timeout (the library requires more than three heartbeats). The wider the
+# range, the fewer elections end with a split vote.
+MIN_TIMEOUT_HEARTBEATS = 3.2
 COMPACT_ENTRIES = 2000
-BATCH = 1 << 20  # what a follower lacks comes in one piece: a part would shorten its log for a while
-MOST_QUEUED = 1000
-MOST_EVENTS = 10_000  # not yet fetched by the gateway: past it the oldest go, and are counted
-WHY = {FAIL_REASON.QUEUE_FULL: "queue full", FAIL_REASON.MISSING_LEADER: "no leader",
-       FAIL_REASON.DISCARDED: "discarded"}  # fmt: skip
+BATCH_BYTES = 1 << 20  # large enough for all missing entries: a partial batch truncates the log for a while
+MAX_QUEUED_COMMANDS = 1000
+MAX_EVENTS = 10_000  # not yet fetched by the gateway: past it the oldest are dropped
+FAILURE_REASONS = {FAIL_REASON.QUEUE_FULL: "queue full", FAIL_REASON.MISSING_LEADER: "no leader",
+                   FAIL_REASON.DISCARDED: "discarded"}  # fmt: skip
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """`dial`: where this member reaches it, if not at its address: a tunnel, a translated address."""
+    """A member of the group. `dial`: the address to connect to if it differs from `address`, for example
+    through a tunnel or address translation."""
 
     name: str
     address: str
@@ -80,7 +83,7 @@
 
 
 class _DialedNode(TCPNode):  # type: ignore[misc]
-    """A peer whose address names it to all, and is not where this member connects to."""
+    """A peer that is identified by its address but may be connected to at another one."""
 
     def __init__(self, peer: Peer) -> None:
         super().__init__(peer.address)
@@ -98,18 +101,18 @@
 
 class _Transport(TCPTransport):  # type: ignore[misc]
     def _onIncomingMessageReceived(self, conn: Any, message: Any) -> None:  # noqa: N802
-        """The first message names the peer; an older connection of it, cut or half dead, ends with that."""
+        """The first message identifies the peer: close an older, possibly half-open connection of it."""
         node = self._nodeAddrToNode.get(message) if isinstance(message, str) else None
-        old = self._connections.get(node) if node is not None else None
+        previous = self._connections.get(node) if node is not None else None
         super()._onIncomingMessageReceived(conn, message)
-        if old is not None and old is not conn:
-            old.setOnMessageReceivedCallback(lambda message: None)
-            old.disconnect()
+        if previous is not None and previous is not conn:
+            previous.setOnMessageReceivedCallback(lambda message: None)
+            previous.disconnect()
 
 
 @dataclass(frozen=True, slots=True)
 class _Applied:
-    """What a command gave when it was applied here. It stays in this process."""
+    """The result of applying a command on this member. It is not replicated."""
 
     why: str
     lease: Lease | None = None
@@ -119,17 +122,17 @@
 class _Group(SyncObj):  # type: ignore[misc]
     def __init__(self, node: TCPNode, others: Sequence[TCPNode], conf: SyncObjConf,
                  applied: Callable[[list[Event]], None]) -> None:  # fmt: skip
-        self._applied = applied  # set before the library notes which attributes are not replicated
-        self._told: Ledger | None = None  # whose changes were told from the beginning on
+        self._applied = applied  # before super().__init__: not replicated
+        self._reported: Ledger | None = None  # the ledger whose changes have all been reported
         super().__init__(node, others, conf, transportClass=_Transport)
-        self.ledger = self._told = Ledger()  # ... and this after: it goes into snapshots
-        # A member that starts listens for a leader first: standing for election before it has been reached by
-        # the one there is would depose that one, for the library asks for no vote beforehand.
+        self.ledger = self._reported = Ledger()  # after super().__init__: `ledger` is part of snapshots
+        # A starting member first listens for a leader: if it stood for election before the current leader has
+        # reached it, it would depose that leader, because the library has no pre-vote.
         self._SyncObj__raftElectionDeadline += conf.raftMaxTimeout
 
     @replicated  # type: ignore[misc]
     def commit(self, command: Command) -> _Applied:
-        self.tell_replaced()
+        self.report_replaced_state()
         why, events = self.ledger.apply(command)
         if events:
             self._applied(events)
@@ -138,12 +141,12 @@
         duty = getattr(command, "duty", "")
         return _Applied(why, self.ledger.lease(duty) if duty else None)
 
-    def tell_replaced(self) -> None:
-        """Tell all that is known, if a snapshot came in the place of its commands: before any command that
-        is applied after it."""
-        if self.ledger is self._told:
+    def report_replaced_state(self) -> None:
+        """Report the whole state if the library loaded a snapshot in place of the commands in it. Called
+        before any command that is applied after the snapshot."""
+        if self.ledger is self._reported:
             return
-        ledger = self._told = self.ledger
+        ledger = self._reported = self.ledger
         self._applied([LeaseSeen(lease) for lease in ledger.leases.values()])
         self._applied([PolicySeen(version) for version in ledger.policies])
         self._applied([ActiveSeen(ledger.active)])
@@ -151,31 +154,32 @@
 
 
 class Raft:
-    """The port on PySyncObj. `folder`: for the journal, which has to outlive the process: a member that
-    forgot its vote could vote twice in a term."""
+    """The coordination port on PySyncObj. `folder`: for the journal, which has to survive a restart: a member
+    that lost its vote could vote twice in one term."""
 
     store_expires = False
 
-    def __init__(self, me: Peer, peers: Sequence[Peer], election_us: int, folder: Path) -> None:
-        self._me, self._peers = me, [peer for peer in peers if peer.address != me.address]
+    def __init__(self, local: Peer, peers: Sequence[Peer], election_us: int, folder: Path) -> None:
+        self._local, self._peers = local, [peer for peer in peers if peer.address != local.address]
         election_s = election_us / 1e6
-        self._tick_s = election_s / TICKS
-        name = me.address.replace(":", "_")
+        self._tick_s = election_s / TICKS_PER_ELECTION_TIMEOUT
+        name = local.address.replace(":", "_")
         folder.mkdir(parents=True, exist_ok=True)
-        beat_s = election_s / HEARTBEATS
+        heartbeat_s = election_s / HEARTBEATS_PER_ELECTION_TIMEOUT
         self._conf = SyncObjConf(
-            autoTick=False, appendEntriesUseBatch=True, appendEntriesBatchSizeBytes=BATCH, useFork=False,
-            raftMinTimeout=SHORTEST * beat_s, raftMaxTimeout=election_s, appendEntriesPeriod=beat_s,
-            leaderFallbackTimeout=2 * election_s, connectionTimeout=2 * election_s,
-            connectionRetryTime=election_s / 4, commandsWaitLeader=False, commandsQueueSize=MOST_QUEUED,
-            bindAddress=me.dial or me.address, maxBindRetries=1, journalFile=str(folder / f"{name}.journal"),
-            fullDumpFile=str(folder / f"{name}.dump"), logCompactionMinEntries=COMPACT_ENTRIES,
+            autoTick=False, appendEntriesUseBatch=True, appendEntriesBatchSizeBytes=BATCH_BYTES,
+            useFork=False, raftMinTimeout=MIN_TIMEOUT_HEARTBEATS * heartbeat_s, raftMaxTimeout=election_s,
+            appendEntriesPeriod=heartbeat_s, leaderFallbackTimeout=2 * election_s,
+            connectionTimeout=2 * election_s, connectionRetryTime=election_s / 4, commandsWaitLeader=False,
+            commandsQueueSize=MAX_QUEUED_COMMANDS, bindAddress=local.dial or local.address, maxBindRetries=1,
+            journalFile=str(folder / f"{name}.journal"), fullDumpFile=str(folder / f"{name}.dump"),
+            logCompactionMinEntries=COMPACT_ENTRIES,
         )  # fmt: skip
         self._conf.validate()
         self._group: _Group | None = None
-        self._events: deque[Event] = deque(maxlen=MOST_EVENTS)
+        self._events: deque[Event] = deque(maxlen=MAX_EVENTS)
         self._term = TermSeen(0, NOBODY)
-        self._asked = 0
+        self._last_number = 0
         self._state_wanted = threading.Event()
         self._closing = threading.Event()
         self._thread = threading.Thread(target=self._run, name="coord-raft", daemon=True)
@@ -186,20 +190,20 @@
         self._thread.start()
 
     def ask(self, command: Command) -> int:
-        self._asked += 1
-        number, group = self._asked, self._group
+        self._last_number += 1
+        number, group = self._last_number, self._group
         if group is None:
-            self._hear([Answered(number, False, None, "not bound yet")])
+            self._emit([Answered(number, False, None, "not bound yet")])
         else:
             group.commit(command, callback=partial(self._answer, number))
         return number
 
     def events(self) -> list[Event]:
-        heard: list[Event] = []
+        events: list[Event] = []
         with contextlib.suppress(IndexError):
             while True:
-                heard.append(self._events.popleft())
-        return heard
+                events.append(self._events.popleft())
+        return events
 
     def listing(self) -> tuple[int, dict[str, Any]] | None:
         ledger = self._group.ledger if self._group is not None else Ledger()
@@ -213,52 +217,52 @@
         return dict(self._group.ledger.present) if self._group is not None else {}
 
     def request_state(self) -> None:
-        """Have the whole state told as a StateReplaced, in order with all other events."""
+        """Request a StateReplaced event with the whole state, ordered with all other events."""
         self._state_wanted.set()
 
     def reports(self) -> dict[str, ServingReport]:
-        """By replica, what its gateways served under at its last barrier."""
+        """By replica, which versions its gateways served under at its last barrier."""
         return dict(self._group.ledger.reports) if self._group is not None else {}
 
     def applied(self) -> int:
-        """How many entries of the log were applied, since the group began."""
+        """The number of log entries applied since the group was created."""
         return int(self._group.raftLastApplied) if self._group is not None else 0
 
     def members(self) -> list[MemberView]:
         group = self._group
-        up = {node.id for node in group.otherNodes if group.isNodeConnected(node)} if group else set()
-        others = [MemberView(p.name, p.address, p.address in up) for p in self._peers]
-        return [MemberView(self._me.name, self._me.address, group is not None), *others]
+        connected = {node.id for node in group.otherNodes if group.isNodeConnected(node)} if group else set()
+        others = [MemberView(p.name, p.address, p.address in connected) for p in self._peers]
+        return [MemberView(self._local.name, self._local.address, group is not None), *others]
 
     def close(self) -> None:
         self._closing.set()
         if self._thread.ident is not None:
             self._thread.join(timeout=1.0)
 
-    def _hear(self, events: list[Event]) -> None:
+    def _emit(self, events: list[Event]) -> None:
         self._events.extend(events)
         self._wake()
 
     def _answer(self, number: int, result: _Applied | None, failure: int) -> None:
         if failure != FAIL_REASON.SUCCESS or result is None:
-            self._hear([Answered(number, False, None, WHY.get(failure, UNKNOWN))])
+            self._emit([Answered(number, False, None, FAILURE_REASONS.get(failure, UNKNOWN))])
         else:
-            self._hear([Answered(number, not result.why, result.lease, result.why, result.position)])
+            self._emit([Answered(number, not result.why, result.lease, result.why, result.position)])
 
     def _run(self) -> None:
         while not self._closing.is_set():
             if self._group is None and not self._bind():
-                self._closing.wait(BIND_S)
+                self._closing.wait(BIND_RETRY_S)
                 continue
             assert self._group is not None
             try:
                 self._group.doTick(self._tick_s)
-                self._group.tell_replaced()
+                self._group.report_replaced_state()
                 if self._state_wanted.is_set():
                     self._state_wanted.clear()
-                    self._hear([StateReplaced(self._group.ledger.state())])
-                self._look()
-            except Exception:  # a peer that sends what cannot be read must not end the member
+                    self._emit([StateReplaced(self._group.ledger.state())])
+                self._check_leader()
+            except Exception:  # malformed data from a peer must not stop the member
                 defect(log, "coordination")
                 self._closing.wait(self._tick_s)
         if self._group is not None:
@@ -271,21 +275,21 @@
                 probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 probe.bind((host, int(port)))
             others = [_DialedNode(peer) for peer in self._peers]
-            self._group = _Group(TCPNode(self._me.address), others, self._conf, self._hear)
+            self._group = _Group(TCPNode(self._local.address), others, self._conf, self._emit)
         except Exception as error:
             tell(log, StoreError(error, address=self._conf.bindAddress), "coordination")
             return False
         return True
 
-    def _look(self) -> None:
-        """Say who leads in which term, whenever that changes."""
+    def _check_leader(self) -> None:
+        """Emit a TermSeen event when the term or the leader has changed."""
         assert self._group is not None
         leader = self._group._getLeader()
         name = NOBODY
         if leader is not None:
-            names = {p.address: p.name for p in (self._me, *self._peers)}
+            names = {p.address: p.name for p in (self._local, *self._peers)}
             name = names.get(leader.id, leader.id)
-        seen = TermSeen(self._group.raftCurrentTerm, name)
-        if seen != self._term:
-            self._term = seen
-            self._hear([seen])
+        current = TermSeen(self._group.raftCurrentTerm, name)
+        if current != self._term:
+            self._term = current
+            self._emit([current])
--- a/stackrouter/coord/waiting_commands.py
+++ b/stackrouter/coord/waiting_commands.py
@@ -1,4 +1,4 @@
-"""Commands whose caller waits for the answer: those that come through the admin socket."""
+"""Commands whose caller waits for the answer: those received through the admin socket."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 
 class WaitingCommands:
-    """Each entry is gone once its caller has the answer or has waited long enough."""
+    """Delivers answers to waiting callers. An entry exists only while its caller waits."""
 
     def __init__(self, store: Coordination) -> None:
         self._store = store
-        self._waiting: dict[int, AsyncResult[str]] = {}  # by the command's number
+        self._waiting: dict[int, AsyncResult[str]] = {}  # by command number
 
     def ask_and_wait(self, command: Command, within_s: float) -> str | None:
-        """Why a command was refused; empty: it took hold; None: not known within this time."""
+        """Submit a command and wait up to `within_s` seconds. Returns why it was refused; empty: it was
+        applied; None: no answer within that time."""
         waiting: AsyncResult[str] = AsyncResult()
         number = self._store.ask(command)
         self._waiting[number] = waiting
@@ -28,6 +29,6 @@
             del self._waiting[number]
 
     def answered(self, event: Answered) -> None:
-        """The store answered a command, of this part or of another."""
+        """Process an answer of the store; the command may be another component's."""
         if (waiting := self._waiting.get(event.number)) is not None:
             waiting.set(event.why)
--- a/stackrouter/coord/watch.py
+++ b/stackrouter/coord/watch.py
@@ -1,11 +1,12 @@
-"""Whether this gateway asks discovery itself, or lives on the list that the fleet's watcher hands on. No I/O.
+"""Decides whether this gateway queries discovery itself or follows the list that the fleet's watcher
+publishes. No I/O.
 
-One member holds the duty `watch`: it asks discovery as every gateway does today, and publishes each answer
-under its token. The others follow. Who follows asks discovery itself again, as with coordination off,
+One member holds the duty `watch`: it queries discovery as a gateway without coordination does, and publishes
+each answer under its token. The others follow. A follower queries discovery itself, as without coordination,
 
-- before it has followed anything, and from `stale_us` after the watcher was last heard of (it died, the
-  group has no leader, discovery is silent to it, or this member is cut off);
-- for the whole list, where it has none that counts (engine's wish, a discovery that has moved).
+- until it has applied a published listing, and once nothing was received from the watcher for `stale_us` (it
+  died, the group has no leader, discovery does not answer it, or this member is partitioned);
+- for the whole list, when it has no valid one (the engine requests it, or discovery has moved).
 
 Times are microseconds of the member's own clock.
 """
@@ -17,50 +18,56 @@
 
 
 class Role(enum.Enum):
-    WATCH = "watch"  # asks discovery and publishes
-    FOLLOW = "follow"  # asks nothing
-    ALONE = "alone"  # asks discovery for itself, as without coordination
+    """How a gateway gets its list of storage nodes."""
+
+    WATCH = "watch"  # queries discovery and publishes
+    FOLLOW = "follow"  # does not query discovery
+    ALONE = "alone"  # queries discovery for itself, as without coordination
 
 
 class Verdict(enum.Enum):
+    """What to do with a published listing."""
+
     TAKE = "take"
     LEAVE = "leave"
-    GAP = "gap"  # it builds on a version that this member has not seen: the whole list has to come first
+    GAP = "gap"  # it is based on a version that this member has not seen: the whole list is needed first
 
 
 @dataclass(slots=True)
 class Follower:
-    """`stale_us`: how long the watcher may be unheard of. It publishes at least with every answered watch."""
+    """Follows the watcher's listings. `stale_us`: how long the watcher may be silent; it publishes at least
+    with every answered watch call."""
 
     stale_us: int
-    heard_at: int | None = None
-    index: int = -1  # of the list this member has
-    token: int = 0  # of the watcher it came from
+    last_applied_at: int | None = None
+    index: int = -1  # version of this member's list; -1: none
+    token: int = 0  # of the watcher that published it
 
     def role(self, now: int, acting: bool) -> Role:
+        """The role now. `acting`: whether this member holds the duty `watch`."""
         if acting:
             return Role.WATCH
-        heard = self.heard_at is not None and now - self.heard_at < self.stale_us
-        return Role.FOLLOW if heard else Role.ALONE
+        watcher_alive = self.last_applied_at is not None and now - self.last_applied_at < self.stale_us
+        return Role.FOLLOW if watcher_alive else Role.ALONE
 
     def asked(self, index: int) -> None:
-        """This member has its list from discovery itself."""
+        """Record the version of a list that this member got from discovery itself."""
         self.index = index
 
     def takes(self, now: int, token: int, base: int | None, index: int) -> Verdict:
-        """A listing was handed on: what to do with it. Only what is taken counts as hearing of the watcher,
-        so that who cannot follow asks for itself once the last one taken is `stale_us` old."""
+        """Decide on a published listing. Only an applied one counts as a sign of life of the watcher, so that
+        a member that cannot follow queries discovery itself `stale_us` after the last one it applied."""
         if self.index < 0:
-            return Verdict.LEAVE  # what a journal tells at a start is of old: discovery is asked first
+            return Verdict.LEAVE  # at a start the journal replays old listings: discovery is queried first
         if token < self.token:
-            return Verdict.LEAVE  # from a watcher that has been followed by another
+            return Verdict.LEAVE  # from a superseded watcher
         if base is not None and base > self.index:
             return Verdict.GAP
         if index < self.index:
-            return Verdict.LEAVE  # older than what this member already knows
-        self.token, self.heard_at, self.index = token, now, index
+            return Verdict.LEAVE  # older than this member's list
+        self.token, self.last_applied_at, self.index = token, now, index
         return Verdict.TAKE
 
     def stale_at(self) -> int | None:
-        """When the watcher will have been unheard of for too long."""
-        return None if self.heard_at is None else self.heard_at + self.stale_us
+        """When the watcher will have been silent for too long; None: no listing was applied yet."""
+        return None if self.last_applied_at is None else self.last_applied_at + self.stale_us
--- a/tests/test_coord.py
+++ b/tests/test_coord.py
@@ -70,7 +70,7 @@
             if isinstance(action, Ask):
                 number = self.rng.getrandbits(48)
                 if not isinstance(action.command, Release):
-                    self.clients[i].numbered(number, self.clock(i, ms))
+                    self.clients[i].command_sent(number, self.clock(i, ms))
                 self.post(ms, i, lambda c=action.command, n=number: self.commit(i, c, n))  # type: ignore[misc]
 
     def commit(self, i: int, command: Acquire | Renew | Release, number: int) -> None:
@@ -90,7 +90,7 @@
         if (
             lease.mark >= self.clients[j].seen.mark
         ):  # members hear in order; what is lost is made up for later
-            self.do(self.now, j, self.clients[j].saw(lease, self.clock(j, self.now)))
+            self.do(self.now, j, self.clients[j].lease_seen(lease, self.clock(j, self.now)))
 
     def run(self) -> list[tuple[int, int, int]]:
         for self.now in range(END_MS):
@@ -101,7 +101,7 @@
                     what()
             for i, client in enumerate(self.clients):
                 self.do(self.now, i, client.tick(self.clock(i, self.now)))
-                if (token := client.acting(self.clock(i, self.now))) is not None:
+                if (token := client.fencing_token(self.clock(i, self.now))) is not None:
                     self.looks.append((self.now, token, i))
         return self.looks
 
@@ -143,17 +143,17 @@
     ) -> None:
         client = LeaseClient("d", "a", TIMING, 0)
         self.assertEqual(client.tick(0), [Ask(Acquire("d", "a", (0, 0)))])
-        client.numbered(1, 0)
+        client.command_sent(1, 0)
         self.assertEqual(
             client.answered(Answered(1, True, Lease("d", "a", 1)), 720 * MS), []
         )  # known too late
-        self.assertIsNone(client.acting(720 * MS))
+        self.assertIsNone(client.fencing_token(720 * MS))
         client = LeaseClient("d", "a", TIMING, 0)
         client.tick(0)
-        client.numbered(1, 0)
+        client.command_sent(1, 0)
         self.assertEqual(client.answered(Answered(1, True, Lease("d", "a", 1)), 10 * MS), [Begin("d", 1)])
-        self.assertEqual(client.acting(719 * MS), 1)
-        self.assertIsNone(client.acting(720 * MS))
+        self.assertEqual(client.fencing_token(719 * MS), 1)
+        self.assertIsNone(client.fencing_token(720 * MS))
         self.assertEqual(client.tick(5000 * MS), [End("d", 1, "lapsed")])
 
     def test_a_lost_answer_is_made_up_for_by_the_ledger_from_the_first_ask_on(self) -> None:
@@ -162,29 +162,29 @@
             for n in range(asks):
                 client.tick(n * 180 * MS)
             now = (asks - 1) * 180 * MS + 100 * MS
-            actions = client.saw(Lease("d", "a", 1), now)
+            actions = client.lease_seen(Lease("d", "a", 1), now)
             self.assertEqual(Begin("d", 1) in actions, begins)
-            self.assertEqual(client.acting(719 * MS), 1 if begins else None)
-            self.assertIsNone(client.acting(720 * MS))
+            self.assertEqual(client.fencing_token(719 * MS), 1 if begins else None)
+            self.assertIsNone(client.fencing_token(720 * MS))
         client = LeaseClient("d", "a", TIMING, 0)
         client.tick(0)
-        client.saw(Lease("d", "b", 3), 10 * MS)
+        client.lease_seen(Lease("d", "b", 3), 10 * MS)
         self.assertNotIn(
-            Begin("d", 4), client.saw(Lease("d", "a", 4), 20 * MS)
+            Begin("d", 4), client.lease_seen(Lease("d", "a", 4), 20 * MS)
         )  # not over a mark we asked about
 
     def test_a_record_told_again_is_not_taken_for_a_new_holding(self) -> None:
         client = LeaseClient("d", "a", TIMING, 0)
         client.tick(0)
-        self.assertIn(Begin("d", 1), client.saw(Lease("d", "a", 1), 10 * MS))
+        self.assertIn(Begin("d", 1), client.lease_seen(Lease("d", "a", 1), 10 * MS))
         self.assertIn(End("d", 1, "lapsed"), client.tick(900 * MS))
         self.assertIn(Ask(Acquire("d", "a", (1, 0))), client.tick(1700 * MS))
-        self.assertNotIn(Begin("d", 1), client.saw(Lease("d", "a", 1), 1710 * MS))  # from a snapshot
+        self.assertNotIn(Begin("d", 1), client.lease_seen(Lease("d", "a", 1), 1710 * MS))  # from a snapshot
 
     def test_a_lease_of_a_former_life_is_not_acted_under(self) -> None:
         client = LeaseClient("d", "a#2", TIMING, 0)
-        self.assertEqual(client.saw(Lease("d", "a#1", 4, 2), 0), [])
-        self.assertIsNone(client.acting(1))
+        self.assertEqual(client.lease_seen(Lease("d", "a#1", 4, 2), 0), [])
+        self.assertIsNone(client.fencing_token(1))
         self.assertEqual(client.tick(799 * MS), [])
         self.assertEqual(client.tick(800 * MS), [Ask(Acquire("d", "a#2", (4, 2)))])
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -106,7 +106,7 @@
         switch.heartbeat_answered(1, True, 10)
         self.assertTrue(switch.ready(20) and switch.serves(20))
         self.assertFalse(switch.serves(900 * MS))
-        self.assertTrue(PolicyStateMachine(Rules(1000 * MS, 0, refuse=False), _until=0).serves(hour))
+        self.assertTrue(PolicyStateMachine(Rules(1000 * MS, 0, refuse=False), _valid_until=0).serves(hour))
         # While it was away two versions were committed and one activated.
         switch.version_committed(Version(1, "a", "{}", AFTER), hour)
         switch.version_activated(1)
@@ -121,7 +121,7 @@
         self.assertEqual((switch.activation_due(hour + 10), switch.activation_due(hour + AFTER)), (None, 2))
 
     def test_a_version_that_cannot_be_taken_here_is_not_served_under(self) -> None:
-        switch = PolicyStateMachine(RULES, _until=1 << 60)
+        switch = PolicyStateMachine(RULES, _valid_until=1 << 60)
         switch.version_taken(Version(1, "a", "{}", AFTER), 0, False)
         self.assertEqual((switch.serving.number, switch.ready(1), switch.serves(1)), (OWN, False, False))
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stackrouter.coord.quota import Allocator, Grant, Holder, Report, Terms, fair
+from stackrouter.coord.quota import Allocator, Grant, Holder, Report, Terms, max_min_fair
 from stackrouter.model.limits import LimitsModel, Scene
 
 MS = 1000
@@ -23,7 +23,7 @@
     def test_fair_parts_are_within_the_whole_and_nobody_wants_from_who_has_more(
         self, total: float, wants: dict[str, float]
     ) -> None:
-        given_ = fair(total, wants)
+        given_ = max_min_fair(total, wants)
         self.assertLessEqual(sum(given_.values()), total + 1e-9)
         least = min((given_[m] for m in wants if given_[m] < wants[m] - 1e-9), default=2.0)
         for m, want in wants.items():
