--- a/tests/standins/etcd.py
+++ b/tests/standins/etcd.py
@@ -1,5 +1,5 @@
-"""A small stand-in of etcd v3's JSON gateway (lease and KV parts of its published API), with faults by
-hand."""
+"""A small stand-in for etcd v3's JSON gateway (the lease and KV parts of its public API). While `failing` is
+set, every call is answered with status 503."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 
 
 class StandinEtcd(ThreadingHTTPServer):
+    """Serves on a free port of 127.0.0.1 from a thread of its own."""
+
     daemon_threads = True
 
     def __init__(self) -> None:
-        super().__init__(("127.0.0.1", 0), Calls)
+        super().__init__(("127.0.0.1", 0), RequestHandler)
         self.revision = 1
         self.keys: dict[bytes, dict[str, Any]] = {}
-        self.leases: dict[int, tuple[int, float]] = {}  # by id: ttl, and when it ends
+        self.leases: dict[int, tuple[int, float]] = {}  # by id: ttl in seconds, and when it expires
         self.lock, self.failing, self.calls = threading.Lock(), False, 0
         threading.Thread(target=self.serve_forever, daemon=True).start()
 
@@ -44,15 +46,15 @@
                 case "kv/range":
                     return self._range(body)
                 case "kv/txn":
-                    so = all(self._compare(c) for c in body.get("compare", ()))
-                    for operation in body["success" if so else "failure"]:
-                        self._operate(operation)
-                    return {"succeeded": True} if so else {}
+                    matched = all(self._compare(c) for c in body.get("compare", ()))
+                    for operation in body["success" if matched else "failure"]:
+                        self._apply_operation(operation)
+                    return {"succeeded": True} if matched else {}
         raise KeyError(path)
 
     def _expire(self) -> None:
-        ended = {i for i, (_, until) in self.leases.items() if until <= time.monotonic()}
-        for key in [k for k, kv in self.keys.items() if kv.get("lease") in ended]:
+        expired = {i for i, (_, until) in self.leases.items() if until <= time.monotonic()}
+        for key in [k for k, kv in self.keys.items() if kv.get("lease") in expired]:
             self.revision += 1
             del self.keys[key]
 
@@ -68,28 +70,28 @@
         name = compare["target"].lower()
         return bool(kv[name] == int(compare[f"{name}_revision"]))
 
-    def _operate(self, operation: dict[str, Any]) -> None:
+    def _apply_operation(self, operation: dict[str, Any]) -> None:
         self.revision += 1
         if put := operation.get("request_put"):
-            old = self.keys.get(key := b64decode(put["key"]))
+            previous = self.keys.get(key := b64decode(put["key"]))
             self.keys[key] = {"value": put["value"], "lease": put.get("lease"), "mod": self.revision,
-                              "create": old["create"] if old else self.revision}  # fmt: skip
+                              "create": previous["create"] if previous else self.revision}  # fmt: skip
         else:
             self.keys.pop(b64decode(operation["request_delete_range"]["key"]), None)
 
 
-class Calls(BaseHTTPRequestHandler):
+class RequestHandler(BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
     server: StandinEtcd
 
     def do_GET(self) -> None:  # noqa: N802
-        self._say({"etcdserver": "3.5.0", "etcdcluster": "3.5.0"})
+        self._send_json({"etcdserver": "3.5.0", "etcdcluster": "3.5.0"})
 
     def do_POST(self) -> None:  # noqa: N802
         body = json.loads(self.rfile.read(int(self.headers["Content-Length"])) or b"{}")
-        self._say(self.server.answer(self.path, body))
+        self._send_json(self.server.answer(self.path, body))
 
-    def _say(self, answer: dict[str, Any]) -> None:
+    def _send_json(self, answer: dict[str, Any]) -> None:
         data = json.dumps(answer).encode()
         self.send_response(503 if self.server.failing else 200)
         self.send_header("Content-Length", str(len(data)))
--- a/tests/test_control_raft.py
+++ b/tests/test_control_raft.py
@@ -1,4 +1,4 @@
-"""Numbered changes, barriers and replaced states through the Raft adapter, over loopback."""
+"""Numbered changes, read barriers and replaced states through the Raft adapter, over loopback."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 from stackrouter.coord.raft import Peer, Raft
 from tests.exchange import free_address
 
-H = "history"
-WITHIN_S = 20.0
-COMPACT = 40  # entries of the library's log
+HISTORY = "history"
+TIMEOUT_S = 20.0
+COMPACT_ENTRIES = 40  # of the library's log
 
 
 class Member:
-    """A member of a group with what it told: a state in place of changes, or changes one by one."""
+    """A member of a group that records its events: replaced states, numbered changes and gaps in them."""
 
     def __init__(self, me: Peer, peers: list[Peer], folder: Path) -> None:
         self.store = Raft(me, peers, 150_000, folder)
@@ -43,7 +43,7 @@
         self.gaps: list[tuple[LogPosition, int]] = []
         self.store.start(lambda: None)
 
-    def hear(self) -> None:
+    def process_events(self) -> None:
         for event in self.store.events():
             match event:
                 case StateReplaced():
@@ -60,23 +60,24 @@
 
     def change(self, number: int) -> None:
         if not number or number <= self.position.number:
-            return  # told again around a replaced state
+            return  # repeated around a replaced state
         if number != self.position.number + 1:
             self.gaps.append((self.position, number))
         self.position = LogPosition(self.position.history, number)
 
-    def until(self, so: Callable[[], bool]) -> None:
-        until = time.monotonic() + WITHIN_S
-        while not so():
+    def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Process events until the condition holds; fails after `TIMEOUT_S`."""
+        until = time.monotonic() + TIMEOUT_S
+        while not condition():
             assert time.monotonic() < until, (self.position, self.replaced, self.gaps)
             time.sleep(0.002)
-            self.hear()
+            self.process_events()
 
     def ask(self, command: Command) -> Answered:
-        """The answer to a command that is handed in until it is known to have been applied."""
+        """Submit a command repeatedly until it is applied or refused by the ledger; return the answer."""
         while True:
             number = self.store.ask(command)
-            self.until(lambda number=number: number in self.answers)  # type: ignore[misc]
+            self.wait_until(lambda number=number: number in self.answers)  # type: ignore[misc]
             if self.answers[number].accepted or self.answers[number].why in ("base", "active", "history"):
                 return self.answers[number]
 
@@ -92,7 +93,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        compaction = patch("stackrouter.coord.raft.COMPACT_ENTRIES", COMPACT)
+        compaction = patch("stackrouter.coord.raft.COMPACT_ENTRIES", COMPACT_ENTRIES)
         compaction.start()
         self.addCleanup(compaction.stop)
 
@@ -101,40 +102,42 @@
         self.addCleanup(member.store.close)
         return member
 
-    def test_a_restarted_member_tells_its_state_and_then_what_came_after(self) -> None:
+    def test_a_restarted_member_reports_its_state_and_then_the_later_changes(self) -> None:
+        """Most of the log is in the library's dump: its changes are not reported one by one after a restart."""
         me = Peer("a", free_address())
         member = self.start(me, [me])
-        self.assertTrue(member.ask(BeginHistory("a", H)).accepted)
+        self.assertTrue(member.ask(BeginHistory("a", HISTORY)).accepted)
         self.assertEqual(member.ask(BeginHistory("a", "other")).why, "history")
-        member.change_policy(COMPACT)
+        member.change_policy(COMPACT_ENTRIES)
         report = ServingReport(3, ((1, 3),), ("g",))
         answer = member.ask(Barrier("a", report))
-        self.assertEqual(answer.position, LogPosition(H, 2 * COMPACT))
+        self.assertEqual(answer.position, LogPosition(HISTORY, 2 * COMPACT_ENTRIES))
         self.assertEqual((member.position, member.gaps), (answer.position, []))
         self.assertEqual(member.store.reports(), {"a": report})
         member.store.close()
 
-        again = self.start(me, [me])
-        answer = again.ask(Barrier("a"))
-        self.assertEqual(answer.position, LogPosition(H, 2 * COMPACT))
-        self.assertEqual((again.position, again.gaps), (answer.position, []))
-        self.assertTrue(again.replaced)  # most of it came as a dump of the library
-        again.change_policy(1)
-        known = len(again.replaced)
-        again.store.request_state()
-        again.until(lambda: len(again.replaced) > known)
-        self.assertEqual(again.replaced[-1], LogPosition(H, 2 * COMPACT + 2))
-
-    def test_a_member_from_an_empty_disk_has_all_up_to_a_barrier_of_its_own(self) -> None:
+        restarted = self.start(me, [me])
+        answer = restarted.ask(Barrier("a"))
+        self.assertEqual(answer.position, LogPosition(HISTORY, 2 * COMPACT_ENTRIES))
+        self.assertEqual((restarted.position, restarted.gaps), (answer.position, []))
+        self.assertTrue(restarted.replaced)  # most of it was loaded from the library's dump
+        restarted.change_policy(1)
+        known = len(restarted.replaced)
+        restarted.store.request_state()
+        restarted.wait_until(lambda: len(restarted.replaced) > known)
+        self.assertEqual(restarted.replaced[-1], LogPosition(HISTORY, 2 * COMPACT_ENTRIES + 2))
+
+    def test_a_member_with_an_empty_disk_has_all_changes_up_to_its_own_barrier(self) -> None:
+        """Most of the log reaches it as a snapshot of the library; the barrier's answer has to include it."""
         peers = [Peer(name, free_address()) for name in "abc"]
         first, _ = [self.start(peer, peers) for peer in peers[:2]]
-        first.ask(BeginHistory("a", H))
-        first.change_policy(COMPACT)
+        first.ask(BeginHistory("a", HISTORY))
+        first.change_policy(COMPACT_ENTRIES)
         last = self.start(peers[2], peers)
         answer = last.ask(Barrier("c"))
-        self.assertEqual(answer.position, LogPosition(H, 2 * COMPACT))
+        self.assertEqual(answer.position, LogPosition(HISTORY, 2 * COMPACT_ENTRIES))
         self.assertEqual((last.position, last.gaps), (answer.position, []))
         self.assertTrue(last.replaced)
         first.change_policy(1)
-        last.until(lambda: last.position == LogPosition(H, 2 * COMPACT + 2))
+        last.wait_until(lambda: last.position == LogPosition(HISTORY, 2 * COMPACT_ENTRIES + 2))
         self.assertEqual(last.gaps, [])
--- a/tests/test_coord.py
+++ b/tests/test_coord.py
@@ -1,5 +1,5 @@
-"""Coordination's decisions without I/O: leases under drift and loss, the ledger, the fence, the follower;
-and the adapter for a store, against the stand-in."""
+"""Coordination's decision logic without I/O (leases under clock drift and message loss, the ledger, fencing,
+the follower), the Raft adapter's journal, and the etcd adapter against its stand-in."""
 
 from __future__ import annotations
 
@@ -42,111 +42,109 @@
 END_MS = 8000
 
 
-class Play:
-    """Lease clients on one ledger in true time, each with a clock of its own rate; messages are late or lost,
-    members cut off for a while. Returns when each looked and saw its lease in force."""
+class LeaseSimulation:
+    """Lease clients on one ledger in simulated true time, each with its own clock rate; messages are delayed or
+    lost, and members are partitioned for a while. `run` returns when each saw its lease in force."""
 
-    def __init__(self, rates: list[float], seed: int, loss: float, cuts: list[tuple[int, int, int]]) -> None:
-        self.rng, self.loss, self.cuts = Random(seed), loss, cuts
+    def __init__(
+        self, rates: list[float], seed: int, loss: float, partitions: list[tuple[int, int, int]]
+    ) -> None:
+        self.rng, self.loss, self.partitions = Random(seed), loss, partitions
         self.rates, self.ledger = rates, Ledger()
         self.clients = [LeaseClient("d", f"m{i}", TIMING, self.clock(i, 0)) for i in range(len(rates))]
-        self.mail: list[tuple[int, int, Callable[[], object]]] = []
-        self.looks: list[tuple[int, int, int]] = []  # true ms, token, member
-        self.begun = 0
+        self.in_flight: list[tuple[int, int, Callable[[], object]]] = []
+        self.observations: list[tuple[int, int, int]] = []  # true ms, token, member
+        self.begin_count = 0
 
     def clock(self, i: int, ms: int) -> int:
         return int(ms * MS * self.rates[i])
 
-    def cut(self, i: int, ms: int) -> bool:
-        return any(i == member and begin <= ms < end for member, begin, end in self.cuts)
+    def is_partitioned(self, i: int, ms: int) -> bool:
+        return any(i == member and begin <= ms < end for member, begin, end in self.partitions)
 
-    def post(self, ms: int, i: int, what: Callable[[], object]) -> None:
-        if not self.cut(i, ms) and self.rng.random() >= self.loss:
-            self.mail.append((ms + self.rng.randint(1, 120), i, what))
+    def send(self, ms: int, i: int, deliver_message: Callable[[], object]) -> None:
+        if not self.is_partitioned(i, ms) and self.rng.random() >= self.loss:
+            self.in_flight.append((ms + self.rng.randint(1, 120), i, deliver_message))
 
-    def do(self, ms: int, i: int, actions: list[Ask | Begin | End]) -> None:
+    def carry_out(self, ms: int, i: int, actions: list[Ask | Begin | End]) -> None:
         for action in actions:
-            self.begun += isinstance(action, Begin)
+            self.begin_count += isinstance(action, Begin)
             if isinstance(action, Ask):
                 number = self.rng.getrandbits(48)
                 if not isinstance(action.command, Release):
                     self.clients[i].command_sent(number, self.clock(i, ms))
-                self.post(ms, i, lambda c=action.command, n=number: self.commit(i, c, n))  # type: ignore[misc]
+                self.send(ms, i, lambda c=action.command, n=number: self.commit(i, c, n))  # type: ignore[misc]
 
     def commit(self, i: int, command: Acquire | Renew | Release, number: int) -> None:
         why, events = self.ledger.apply(command)
         answer = Answered(number, not why, self.ledger.lease("d"), why)
-        self.post(
+        self.send(
             self.now,
             i,
-            lambda: self.do(self.now, i, self.clients[i].answered(answer, self.clock(i, self.now))),
+            lambda: self.carry_out(self.now, i, self.clients[i].answered(answer, self.clock(i, self.now))),
         )
         for event in events:
             if isinstance(event, LeaseSeen):
                 for j in range(len(self.clients)):
-                    self.post(self.now, j, lambda j=j, e=event: self.see(j, e.lease))  # type: ignore[misc]
+                    self.send(self.now, j, lambda j=j, e=event: self.deliver(j, e.lease))  # type: ignore[misc]
 
-    def see(self, j: int, lease: Lease) -> None:
-        if (
-            lease.mark >= self.clients[j].seen.mark
-        ):  # members hear in order; what is lost is made up for later
-            self.do(self.now, j, self.clients[j].lease_seen(lease, self.clock(j, self.now)))
+    def deliver(self, j: int, lease: Lease) -> None:
+        if lease.mark >= self.clients[j].seen.mark:  # records are delivered in order; some may be lost
+            self.carry_out(self.now, j, self.clients[j].lease_seen(lease, self.clock(j, self.now)))
 
     def run(self) -> list[tuple[int, int, int]]:
         for self.now in range(END_MS):
-            due = [m for m in self.mail if m[0] <= self.now]
-            self.mail = [m for m in self.mail if m[0] > self.now]
-            for _, i, what in due:
-                if not self.cut(i, self.now):
-                    what()
+            due = [m for m in self.in_flight if m[0] <= self.now]
+            self.in_flight = [m for m in self.in_flight if m[0] > self.now]
+            for _, i, deliver_message in due:
+                if not self.is_partitioned(i, self.now):
+                    deliver_message()
             for i, client in enumerate(self.clients):
-                self.do(self.now, i, client.tick(self.clock(i, self.now)))
+                self.carry_out(self.now, i, client.tick(self.clock(i, self.now)))
                 if (token := client.fencing_token(self.clock(i, self.now))) is not None:
-                    self.looks.append((self.now, token, i))
-        return self.looks
+                    self.observations.append((self.now, token, i))
+        return self.observations
 
 
-def overlaps(looks: list[tuple[int, int, int]]) -> int:
+def overlaps(observations: list[tuple[int, int, int]]) -> int:
     highest, count = 0, 0
-    for _, token, _ in looks:
+    for _, token, _ in observations:
         count += token < highest
         highest = max(highest, token)
     return count
 
 
-Cuts = st.lists(st.tuples(st.integers(0, 2), st.integers(0, 5000), st.integers(100, 3000)), max_size=4)
+Partitions = st.lists(st.tuples(st.integers(0, 2), st.integers(0, 5000), st.integers(100, 3000)), max_size=4)
 
 
 class LeaseTest(unittest.TestCase):
     @settings(max_examples=25, deadline=None)
-    @given(st.integers(0, 1 << 30), st.sampled_from([0.0, 0.1, 0.3]), Cuts,
+    @given(st.integers(0, 1 << 30), st.sampled_from([0.0, 0.1, 0.3]), Partitions,
            st.lists(st.floats(0.953, 1.047), min_size=3, max_size=3))  # fmt: skip
-    def test_within_the_drift_no_two_believe_they_hold_it(
+    def test_no_two_members_believe_they_hold_a_duty_within_the_drift_bound(
         self, seed: int, loss: float, spans: list[tuple[int, int, int]], rates: list[float]
     ) -> None:
+        """Guards against overlapping holders when messages are delayed or lost and members are partitioned."""
         self.assertTrue(bears(TIMING, min(rates), max(rates)))
-        play = Play(rates, seed, loss, [(m, at, at + long) for m, at, long in spans])
-        self.assertEqual(overlaps(play.run()), 0)
+        simulation = LeaseSimulation(rates, seed, loss, [(m, at, at + long) for m, at, long in spans])
+        self.assertEqual(overlaps(simulation.run()), 0)
 
-    def test_the_bound_is_where_it_is_stated(self) -> None:
-        # Member 0 holds, is cut off, and its clock runs slower than member 1's.
+    def test_holders_overlap_only_beyond_the_drift_bound_and_the_fence_rejects_the_older(self) -> None:
+        # Member 0 holds the duty and is partitioned; its clock runs slower than member 1's.
         for ratio, held in ((0.91, True), (0.50, False)):
             self.assertEqual(bears(TIMING, ratio, 1.0), held)
-            looks = Play([ratio, 1.0], 1, 0.0, [(1, 0, 300), (0, 1500, 4000)]).run()
-            self.assertIn(1, {member for _, _, member in looks})  # the other did take over
-            self.assertEqual(overlaps(looks) == 0, held, ratio)
-            fence = Fence()  # beyond the bound the receiving side still takes no action out of turn
-            self.assertEqual(overlaps([x for x in looks if fence.admit("d", x[1])]), 0)
+            observations = LeaseSimulation([ratio, 1.0], 1, 0.0, [(1, 0, 300), (0, 1500, 4000)]).run()
+            self.assertIn(1, {member for _, _, member in observations})  # member 1 did take over
+            self.assertEqual(overlaps(observations) == 0, held, ratio)
+            fence = Fence()  # beyond the bound, the receiver still rejects every action of the older holder
+            self.assertEqual(overlaps([x for x in observations if fence.admit("d", x[1])]), 0)
 
-    def test_a_holder_that_stood_still_past_its_lease_does_not_act_and_a_late_answer_begins_nothing(
-        self,
-    ) -> None:
+    def test_a_holder_paused_past_its_lease_does_not_act_and_a_late_answer_begins_no_lease(self) -> None:
         client = LeaseClient("d", "a", TIMING, 0)
         self.assertEqual(client.tick(0), [Ask(Acquire("d", "a", (0, 0)))])
         client.command_sent(1, 0)
-        self.assertEqual(
-            client.answered(Answered(1, True, Lease("d", "a", 1)), 720 * MS), []
-        )  # known too late
+        # The answer arrives after the lease has ended.
+        self.assertEqual(client.answered(Answered(1, True, Lease("d", "a", 1)), 720 * MS), [])
         self.assertIsNone(client.fencing_token(720 * MS))
         client = LeaseClient("d", "a", TIMING, 0)
         client.tick(0)
@@ -156,8 +154,10 @@
         self.assertIsNone(client.fencing_token(720 * MS))
         self.assertEqual(client.tick(5000 * MS), [End("d", 1, "lapsed")])
 
-    def test_a_lost_answer_is_made_up_for_by_the_ledger_from_the_first_ask_on(self) -> None:
-        for asks, begins in ((1, True), (5, False)):  # the fifth ask goes out 720 ms after the first
+    def test_after_a_lost_answer_the_ledgers_record_begins_a_lease_measured_from_the_first_acquire(
+        self,
+    ) -> None:
+        for asks, begins in ((1, True), (5, False)):  # the fifth Acquire is sent 720 ms after the first
             client = LeaseClient("d", "a", TIMING, 0)
             for n in range(asks):
                 client.tick(n * 180 * MS)
@@ -169,11 +169,11 @@
         client = LeaseClient("d", "a", TIMING, 0)
         client.tick(0)
         client.lease_seen(Lease("d", "b", 3), 10 * MS)
-        self.assertNotIn(
-            Begin("d", 4), client.lease_seen(Lease("d", "a", 4), 20 * MS)
-        )  # not over a mark we asked about
+        # No Acquire of this client named the previous mark.
+        self.assertNotIn(Begin("d", 4), client.lease_seen(Lease("d", "a", 4), 20 * MS))
 
-    def test_a_record_told_again_is_not_taken_for_a_new_holding(self) -> None:
+    def test_a_repeated_record_does_not_begin_a_new_lease(self) -> None:
+        """A snapshot repeats the record of a lease that has lapsed here: acting on it would outlive the lease."""
         client = LeaseClient("d", "a", TIMING, 0)
         client.tick(0)
         self.assertIn(Begin("d", 1), client.lease_seen(Lease("d", "a", 1), 10 * MS))
@@ -181,7 +181,7 @@
         self.assertIn(Ask(Acquire("d", "a", (1, 0))), client.tick(1700 * MS))
         self.assertNotIn(Begin("d", 1), client.lease_seen(Lease("d", "a", 1), 1710 * MS))  # from a snapshot
 
-    def test_a_lease_of_a_former_life_is_not_acted_under(self) -> None:
+    def test_a_restarted_member_does_not_act_under_the_lease_of_its_previous_process(self) -> None:
         client = LeaseClient("d", "a#2", TIMING, 0)
         self.assertEqual(client.lease_seen(Lease("d", "a#1", 4, 2), 0), [])
         self.assertIsNone(client.fencing_token(1))
@@ -193,7 +193,9 @@
     @given(
         st.lists(st.tuples(st.sampled_from("arlp"), st.sampled_from("xyz"), st.integers(0, 4)), max_size=60)
     )
-    def test_tokens_only_grow_and_only_the_holder_is_heard(self, steps: list[tuple[str, str, int]]) -> None:
+    def test_tokens_only_grow_and_only_the_holders_commands_are_accepted(
+        self, steps: list[tuple[str, str, int]]
+    ) -> None:
         ledger = Ledger()
         for index, (kind, member, token) in enumerate(steps):
             before = ledger.lease("d")
@@ -212,7 +214,7 @@
             else:
                 self.assertEqual(not why, (before.holder, before.token) == (member, token))
 
-    def test_changes_build_on_the_list_and_a_gap_is_refused(self) -> None:
+    def test_changes_apply_to_a_known_list_and_a_gap_is_refused(self) -> None:
         ledger = Ledger()
         ledger.apply(Acquire("watch", "a", (0, 0)))
         up, drains = {"name": "n", "status": "up"}, {"name": "n", "status": "draining"}
@@ -221,7 +223,7 @@
             body = {"index": index, "endpoints": list(items)}
             return ledger.apply(Publish("watch", "a", 1, base, body))[0]
 
-        self.assertEqual(publish(3, 4, up), "gap")  # nothing to build on
+        self.assertEqual(publish(3, 4, up), "gap")  # there is no list to apply the changes to
         self.assertEqual(publish(None, 5, up), "")
         self.assertEqual(publish(7, 8, drains), "gap")
         self.assertEqual(publish(5, 6, drains), "")
@@ -230,24 +232,25 @@
 
 
 class FollowerTest(unittest.TestCase):
-    def test_follows_what_it_can_build_on_and_asks_for_itself_once_the_watcher_is_unheard_of(self) -> None:
+    def test_applies_listings_it_has_the_base_of_and_queries_discovery_once_the_watcher_is_silent(
+        self,
+    ) -> None:
         f = Follower(stale_us=100)
-        self.assertEqual(
-            f.takes(0, 1, None, 9), Verdict.LEAVE
-        )  # a journal's old list, before its own first call
+        # An old list replayed from the journal, before this member's first call to discovery.
+        self.assertEqual(f.takes(0, 1, None, 9), Verdict.LEAVE)
         self.assertEqual(f.role(0, False), Role.ALONE)
         f.asked(5)
         self.assertEqual(f.takes(10, 2, 5, 6), Verdict.TAKE)
         self.assertEqual((f.role(20, False), f.role(20, True)), (Role.FOLLOW, Role.WATCH))
-        self.assertEqual(f.takes(30, 1, 6, 7), Verdict.LEAVE)  # a watcher that another has followed
+        self.assertEqual(f.takes(30, 1, 6, 7), Verdict.LEAVE)  # from a superseded watcher
         self.assertEqual(f.takes(40, 2, 7, 8), Verdict.GAP)
-        self.assertEqual(f.takes(50, 2, None, 5), Verdict.LEAVE)  # older than what it has
+        self.assertEqual(f.takes(50, 2, None, 5), Verdict.LEAVE)  # older than the member's list
         self.assertEqual(f.role(109, False), Role.FOLLOW)
         self.assertEqual(f.role(110, False), Role.ALONE)
 
 
 class CheckTest(unittest.TestCase):
-    def test_overlaps_are_found_and_handoffs_measured(self) -> None:
+    def test_the_check_finds_overlaps_and_measures_handoffs(self) -> None:
         ms = 1_000_000
         good = [Action(at * ms, "d", t, f"{m}#1", at * ms, True)
                 for at, t, m in ((0, 1, "a"), (10, 1, "a"), (900, 2, "b"))]  # fmt: skip
@@ -256,12 +259,12 @@
         self.assertEqual([(h.ms, h.clean) for h in found.handoffs], [(880.0, True)])
         late = Action(910 * ms, "d", 1, "a#1", 15 * ms, True)
         self.assertEqual(check([*good, late], []).overlaps, 1)
-        self.assertEqual(check([*good, late], []).belief_overlaps, 0)  # it had looked in time
+        self.assertEqual(check([*good, late], []).belief_overlaps, 0)  # its sender checked its lease in time
         twin = Action(910 * ms, "d", 2, "c#1", 910 * ms, True)
         self.assertEqual(check([*good, twin], []).overlaps, 1)
         self.assertEqual(check(good[:2], [Fault(20 * ms, 800 * ms, "kill", "a")]).unfinished, 1)
 
-    def test_a_seed_draws_the_same_schedule_and_its_clocks_keep_the_bound(self) -> None:
+    def test_a_seed_draws_the_same_schedule_with_clock_rates_within_the_drift_bound(self) -> None:
         for seed in range(200):
             drawn = draw(seed, 5, DEFAULT, 6.0, 800 * MS, 80 * MS, ("d",))
             self.assertEqual(drawn, draw(seed, 5, DEFAULT, 6.0, 800 * MS, 80 * MS, ("d",)))
@@ -270,7 +273,8 @@
 
 
 class RaftTest(unittest.TestCase):
-    def test_the_journal_stays_flat_and_the_ledger_outlives_the_process(self) -> None:
+    def test_the_journal_is_compacted_and_the_ledger_survives_a_restart(self) -> None:
+        """Guards against a journal that grows without bound, and against entries lost at a restart."""
         from stackrouter.coord.raft import COMPACT_ENTRIES, Peer, Raft
         from tests.exchange import free_address
 
@@ -289,9 +293,9 @@
                         store.ask(Append("note", "a", "x" * 100))
                         asked += 1
                         continue
-                    heard = [e for e in store.events() if isinstance(e, Answered)]
-                    answered += sum(e.accepted for e in heard)
-                    asked -= sum(not e.accepted for e in heard)
+                    received = [e for e in store.events() if isinstance(e, Answered)]
+                    answered += sum(e.accepted for e in received)
+                    asked -= sum(not e.accepted for e in received)
                     time.sleep(0.002)
                 group = store._group
                 assert group is not None
@@ -310,26 +314,27 @@
         self.server = StandinEtcd()
         self.addCleanup(self.server.stop)
         self.stores = [Etcd([self.server.server_address[:2]], "t/", 2_000_000) for _ in range(2)]  # type: ignore[list-item]
-        self.heard: list[list[object]] = [[], []]
+        self.received: list[list[object]] = [[], []]
         for store in self.stores:
             store.start(lambda: None)
             self.addCleanup(store.close)
 
-    def hear(self, i: int, so: Callable[[object], bool]) -> object:
+    def wait_for_event(self, i: int, condition: Callable[[object], bool]) -> object:
+        """The last event of store `i` that satisfies the condition; fails after 10 s."""
         until = time.monotonic() + 10
-        while not (found := [e for e in self.heard[i] if so(e)]):
-            self.assertLess(time.monotonic(), until, self.heard[i])
-            self.heard[i] += self.stores[i].events()
+        while not (found := [e for e in self.received[i] if condition(e)]):
+            self.assertLess(time.monotonic(), until, self.received[i])
+            self.received[i] += self.stores[i].events()
             time.sleep(0.01)
         return found[-1]
 
     def ask(self, i: int, command: Command) -> Answered:
         number = self.stores[i].ask(command)
-        answer = self.hear(i, lambda e: isinstance(e, Answered) and e.number == number)
+        answer = self.wait_for_event(i, lambda e: isinstance(e, Answered) and e.number == number)
         assert isinstance(answer, Answered)
         return answer
 
-    def test_leases_tokens_listing_and_log_through_the_published_api(self) -> None:
+    def test_leases_tokens_listing_and_log_through_etcds_api(self) -> None:
         first = self.ask(0, Acquire("watch", "a", (0, 0)))
         assert first.accepted and first.lease is not None
         token = first.lease.token
@@ -337,22 +342,22 @@
         self.assertTrue(self.ask(0, Renew("watch", "a", token)).accepted)
         listing = {"index": 4, "endpoints": [{"name": "n", "status": "up"}]}
         self.assertTrue(self.ask(0, Publish("watch", "a", token, None, listing)).accepted)
-        self.hear(1, lambda e: isinstance(e, ListingSeen) and e.listing["index"] == 4)
+        self.wait_for_event(1, lambda e: isinstance(e, ListingSeen) and e.listing["index"] == 4)
         self.assertTrue(self.ask(1, Append("note", "b", "x")).accepted)
-        self.hear(0, lambda e: e == EntrySeen(1, "note", "b", "x"))
+        self.wait_for_event(0, lambda e: e == EntrySeen(1, "note", "b", "x"))
         self.assertEqual(self.ask(0, Propose("a", 1, "d", "{}", 5)).why, "base")
         self.assertTrue(self.ask(0, Propose("a", 0, "d", "{}", 5)).accepted)
         self.assertEqual(self.ask(1, Propose("b", 0, "e", "{}", 5)).why, "base")
         self.assertTrue(self.ask(1, Activate("b", 1)).accepted)
-        self.hear(0, lambda e: e == ActiveSeen(1))
+        self.wait_for_event(0, lambda e: e == ActiveSeen(1))
         self.assertEqual([v.digest for v in self.stores[1].policies()], ["d"])
-        # Not kept alive, the key goes: the duty is free, its next token is higher, the old one is refused.
-        self.hear(1, lambda e: isinstance(e, LeaseSeen) and not e.lease.holder)
+        # Without keepalive the key is deleted: the duty is free, its next token is higher, the old is refused.
+        self.wait_for_event(1, lambda e: isinstance(e, LeaseSeen) and not e.lease.holder)
         second = self.ask(1, Acquire("watch", "b", (0, 0)))
         assert second.accepted and second.lease is not None
         self.assertGreater(second.lease.token, token)
         self.assertEqual(self.ask(0, Renew("watch", "a", token)).why, "token")
         self.assertFalse(self.ask(0, Publish("watch", "a", token, None, listing | {"index": 5})).accepted)
-        # A store that fails answers every ask as refused, and nothing hangs.
+        # While the store fails, every command is answered as refused, and nothing hangs.
         self.server.failing = True
         self.assertEqual(self.ask(1, Renew("watch", "b", second.lease.token)).why, UNKNOWN)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Limits for the whole fleet: the allocation without I/O, and the model with faults."""
+"""Fleet-wide limits: the allocation logic without I/O, and the simulation model with faults."""
 
 from __future__ import annotations
 
@@ -20,44 +20,46 @@
 
 class QuotaTest(unittest.TestCase):
     @given(st.floats(0, 1), st.dictionaries(st.text(max_size=3), st.floats(0, 2), max_size=8))
-    def test_fair_parts_are_within_the_whole_and_nobody_wants_from_who_has_more(
+    def test_the_division_is_max_min_fair_and_within_the_total(
         self, total: float, wants: dict[str, float]
     ) -> None:
-        given_ = max_min_fair(total, wants)
-        self.assertLessEqual(sum(given_.values()), total + 1e-9)
-        least = min((given_[m] for m in wants if given_[m] < wants[m] - 1e-9), default=2.0)
+        """No unsatisfied claimant may have less than another, and nothing remains while demand is unmet."""
+        granted = max_min_fair(total, wants)
+        self.assertLessEqual(sum(granted.values()), total + 1e-9)
+        lowest_unsatisfied = min((granted[m] for m in wants if granted[m] < wants[m] - 1e-9), default=2.0)
         for m, want in wants.items():
-            self.assertLessEqual(given_[m], want + 1e-9)
-            self.assertLessEqual(given_[m], least + 1e-9)
-        self.assertTrue(least == 2.0 or abs(sum(given_.values()) - total) < 1e-6)
+            self.assertLessEqual(granted[m], want + 1e-9)
+            self.assertLessEqual(granted[m], lowest_unsatisfied + 1e-9)
+        self.assertTrue(lowest_unsatisfied == 2.0 or abs(sum(granted.values()) - total) < 1e-6)
 
-    def test_a_part_goes_to_another_only_once_it_is_given_back_or_has_lapsed(self) -> None:
+    def test_a_part_goes_to_another_member_only_once_it_is_returned_or_has_expired(self) -> None:
+        """If granted earlier, the part would be in force twice and the fleet would exceed the limit."""
         allocator = Allocator(TERMS, 1, -TERMS.ttl_us)
         first = allocator.report(report("a", 2.0), 0)
         self.assertAlmostEqual(first.parts["v"], 0.95)
-        self.assertEqual(allocator.report(report("b", 2.0), 10 * MS).parts, {})  # all is out
-        less = allocator.report(report("a", 2.0, holding=first.number), 100 * MS)
-        self.assertAlmostEqual(less.parts["v"], 0.475)  # b wants as much
-        self.assertEqual(allocator.report(report("b", 2.0), 110 * MS).parts, {})  # a may not have heard of it
-        allocator.report(report("a", 2.0, holding=less.number), 200 * MS)
+        self.assertEqual(allocator.report(report("b", 2.0), 10 * MS).parts, {})  # everything is allocated
+        reduced = allocator.report(report("a", 2.0, holding=first.number), 100 * MS)
+        self.assertAlmostEqual(reduced.parts["v"], 0.475)  # b wants the same
+        self.assertEqual(allocator.report(report("b", 2.0), 110 * MS).parts, {})  # a may not have received it
+        allocator.report(report("a", 2.0, holding=reduced.number), 200 * MS)
         self.assertAlmostEqual(allocator.report(report("b", 2.0), 210 * MS).parts["v"], 0.475)
-        # b falls silent with that: its part is free once it has lapsed, and not before.
-        held = allocator.report(report("a", 2.0, holding=less.number + 1), 1200 * MS)
+        # b stops reporting: its part is available once its grant has expired, and not before.
+        held = allocator.report(report("a", 2.0, holding=reduced.number + 1), 1200 * MS)
         self.assertAlmostEqual(held.parts["v"], 0.475)
-        again = allocator.report(report("a", 2.0, holding=held.number), 2300 * MS)
-        self.assertAlmostEqual(again.parts["v"], 0.95)
+        regained = allocator.report(report("a", 2.0, holding=held.number), 2300 * MS)
+        self.assertAlmostEqual(regained.parts["v"], 0.95)
 
-    def test_a_new_allocator_hands_out_nothing_until_it_knows_what_the_last_one_gave(self) -> None:
+    def test_a_new_allocator_grants_nothing_until_it_knows_its_predecessors_grants(self) -> None:
         allocator = Allocator(TERMS, 2, 0)
         self.assertEqual(allocator.report(report("a", 1.0), 10 * MS).parts, {})
         self.assertEqual(allocator.report(report("b", 0.0, part=0.9, holding=7), 20 * MS).parts, {})
-        grant = allocator.report(report("c", 1.0), 30 * MS)  # all three have told
+        grant = allocator.report(report("c", 1.0), 30 * MS)  # all three have reported
         self.assertAlmostEqual(grant.parts["v"], 0.05)
         silent = Allocator(TERMS, 3, 0)
         self.assertEqual(silent.report(report("a", 1.0, token=2), 999 * MS).parts, {})
         self.assertAlmostEqual(silent.report(report("a", 1.0, token=3), 1000 * MS).parts["v"], 0.95)
 
-    def test_a_grant_counts_from_its_report_and_a_late_or_older_one_is_left(self) -> None:
+    def test_a_grant_is_valid_from_its_reports_sending_and_a_late_or_older_one_is_ignored(self) -> None:
         holder = Holder(TERMS)
         self.assertAlmostEqual(holder.part("v", 0), 0.05 / 3)
         self.assertTrue(holder.granted(Grant(2, 5, {"v": 0.5}), 0, 100 * MS))
@@ -72,23 +74,23 @@
 class LimitsModelTest(unittest.TestCase):
     @settings(max_examples=8, deadline=None)
     @given(st.integers(0, 1 << 30), st.sampled_from([3, 7]), st.sampled_from([1000, 4000]))
-    def test_under_faults_all_parts_together_stay_within_the_limit(
+    def test_under_faults_the_sum_of_all_parts_stays_within_the_limit(
         self, seed: int, members: int, swing_ms: int
     ) -> None:
-        found = LimitsModel(Scene(members=members, seed=seed, seconds=6.0, swing_ms=swing_ms)).run()
-        self.assertLessEqual(found.max_parts, 1.0 + 1e-9)
-        self.assertEqual(found.over_bound_windows, 0)
+        figures = LimitsModel(Scene(members=members, seed=seed, seconds=6.0, swing_ms=swing_ms)).run()
+        self.assertLessEqual(figures.max_parts, 1.0 + 1e-9)
+        self.assertEqual(figures.over_bound_windows, 0)
 
-    def test_skewed_demand_uses_nine_tenths_where_even_parts_use_a_fraction(self) -> None:
-        found = LimitsModel(Scene(members=40, seed=3, seconds=10.0, faults=False)).run()
-        self.assertGreaterEqual(found.use_ratio, 0.9)
-        self.assertLess(found.static_use_ratio, 0.3)
+    def test_skewed_demand_uses_nine_tenths_of_the_limit_where_even_parts_use_a_fraction(self) -> None:
+        figures = LimitsModel(Scene(members=40, seed=3, seconds=10.0, faults=False)).run()
+        self.assertGreaterEqual(figures.use_ratio, 0.9)
+        self.assertLess(figures.static_use_ratio, 0.3)
 
-    def test_a_clock_far_beyond_the_drift_is_found(self) -> None:
-        # The check must be able to fail: a member whose clock hardly runs keeps a part that others have, too.
+    def test_a_clock_far_beyond_the_drift_bound_is_detected(self) -> None:
+        # Shows that the check can fail: a member with a very slow clock keeps a part that others get as well.
         model = LimitsModel(Scene(members=3, seed=7, seconds=8.0, swing_ms=2000, faults=False))
         model.rates = [0.05, 1.0, 1.0]
         model.cuts_at = {3000: (0, 5_000_000)}
-        found = model.run()
-        self.assertGreater(found.max_parts, 1.0)
-        self.assertGreater(found.over_bound_windows, 0)
+        figures = model.run()
+        self.assertGreater(figures.max_parts, 1.0)
+        self.assertGreater(figures.over_bound_windows, 0)
