--- a/stackrouter/coord/ledger.py
+++ b/stackrouter/coord/ledger.py
@@ -76,7 +76,8 @@
             self.items[item["name"]] = item
         removed = [name for name, item in self.items.items() if item["status"] == "removed"]
         if command.base is None or len(removed) * 2 > len(self.items):
-            # A removed node is kept for members that lag behind, until removed nodes exceed half of the list.
+            # Removed nodes stay in the list for members that lag behind, but bounded: they are dropped with the
+            # next whole list, or once they make up more than half of the list.
             for name in removed:
                 del self.items[name]
         self.token, self.index = command.token, int(command.listing["index"])
@@ -90,15 +91,15 @@
 
 @dataclass(slots=True)
 class Ledger:
+    """The replicated state. The Raft library pickles it into its dumps: fields must not be renamed."""
+
     leases: dict[str, Lease] = field(default_factory=dict)
     listings: Listings = field(default_factory=Listings)
     entries: deque[EntrySeen] = field(default_factory=lambda: deque(maxlen=MAX_ENTRIES))
     index: int = 0  # of the last entry of the log
     policies: list[Version] = field(default_factory=list)  # the newest last
     active: int = 0  # number of the newest activated version
-    present: dict[str, tuple[int, int]] = field(
-        default_factory=dict
-    )  # by member: version, seconds served under it
+    present: dict[str, tuple[int, int]] = field(default_factory=dict)  # by member: version, seconds under it
     history: str = ""  # identity of the group's history; empty: not begun yet, and changes are not numbered
     number: int = 0  # of the last change (policy committed, version activated, nodes listed) of the history
     reports: dict[str, ServingReport] = field(default_factory=dict)  # by replica, the newest last
--- a/tests/test_control_raft.py
+++ b/tests/test_control_raft.py
@@ -103,7 +103,7 @@
         return member
 
     def test_a_restarted_member_reports_its_state_and_then_the_later_changes(self) -> None:
-        """Most of the log is in the library's dump: its changes are not reported one by one after a restart."""
+        """Most of the log is in the library's dump: after a restart it is not reported change by change."""
         me = Peer("a", free_address())
         member = self.start(me, [me])
         self.assertTrue(member.ask(BeginHistory("a", HISTORY)).accepted)
--- a/tests/test_coord.py
+++ b/tests/test_coord.py
@@ -43,8 +43,8 @@
 
 
 class LeaseSimulation:
-    """Lease clients on one ledger in simulated true time, each with its own clock rate; messages are delayed or
-    lost, and members are partitioned for a while. `run` returns when each saw its lease in force."""
+    """Lease clients on one ledger in simulated true time, each with its own clock rate; messages are delayed
+    or lost, and members are partitioned for a while. `run` returns when each saw its lease in force."""
 
     def __init__(
         self, rates: list[float], seed: int, loss: float, partitions: list[tuple[int, int, int]]
@@ -124,7 +124,7 @@
     def test_no_two_members_believe_they_hold_a_duty_within_the_drift_bound(
         self, seed: int, loss: float, spans: list[tuple[int, int, int]], rates: list[float]
     ) -> None:
-        """Guards against overlapping holders when messages are delayed or lost and members are partitioned."""
+        """Guards against overlapping holders when messages are delayed or lost, or members partitioned."""
         self.assertTrue(bears(TIMING, min(rates), max(rates)))
         simulation = LeaseSimulation(rates, seed, loss, [(m, at, at + long) for m, at, long in spans])
         self.assertEqual(overlaps(simulation.run()), 0)
@@ -173,7 +173,7 @@
         self.assertNotIn(Begin("d", 4), client.lease_seen(Lease("d", "a", 4), 20 * MS))
 
     def test_a_repeated_record_does_not_begin_a_new_lease(self) -> None:
-        """A snapshot repeats the record of a lease that has lapsed here: acting on it would outlive the lease."""
+        """A snapshot repeats the record of a lapsed lease: acting under it would outlive the lease."""
         client = LeaseClient("d", "a", TIMING, 0)
         client.tick(0)
         self.assertIn(Begin("d", 1), client.lease_seen(Lease("d", "a", 1), 10 * MS))
@@ -351,7 +351,7 @@
         self.assertTrue(self.ask(1, Activate("b", 1)).accepted)
         self.wait_for_event(0, lambda e: e == ActiveSeen(1))
         self.assertEqual([v.digest for v in self.stores[1].policies()], ["d"])
-        # Without keepalive the key is deleted: the duty is free, its next token is higher, the old is refused.
+        # Without keepalive the key is deleted: the duty is free, its next token higher, the old one refused.
         self.wait_for_event(1, lambda e: isinstance(e, LeaseSeen) and not e.lease.holder)
         second = self.ask(1, Acquire("watch", "b", (0, 0)))
         assert second.accepted and second.lease is not None
