--- a/stackrouter/coord/ledger.py
+++ b/stackrouter/coord/ledger.py
@@ -76,8 +76,8 @@
             self.items[item["name"]] = item
         removed = [name for name, item in self.items.items() if item["status"] == "removed"]
         if command.base is None or len(removed) * 2 > len(self.items):
-            # Removed nodes stay in the list for members that lag behind, but bounded: they are dropped with the
-            # next whole list, or once they make up more than half of the list.
+            # Removed nodes stay in the list for members that lag behind, but bounded: they are dropped with
+            # the next whole list, or once they make up more than half of the list.
             for name in removed:
                 del self.items[name]
         self.token, self.index = command.token, int(command.listing["index"])
