--- a/stackrouter/capacity/__init__.py
+++ b/stackrouter/capacity/__init__.py
@@ -1,5 +1,5 @@
-"""Capacity: measured slopes of each role, fits over them, and the page made from both.
+"""Capacity planning: measured costs of each role, fits over them, and the page generated from both.
 
-`measure/` runs the program and its parts at several sizes; all else is without side effects but for
+`measure/` runs the program and its parts at several sizes. The other modules have no side effects except
 reading and writing the files under docs/capacity.
 """
--- a/stackrouter/capacity/estimate.py
+++ b/stackrouter/capacity/estimate.py
@@ -1,4 +1,4 @@
-"""A figure at the target from a measured series, with where it comes from and how far it is extrapolated."""
+"""Estimates of a figure at the target size, with their source and extrapolation factor."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 from stackrouter.capacity.scale import FullMeshRun, ScaleRun, without_faults
 from stackrouter.capacity.slopes import Series, Slopes
 
-PREDICT_UP_TO = 3_200  # gateways: larger runs are predicted from those up to here, and then compared
+MAX_FITTED_GATEWAYS = 3_200  # larger runs are predicted from the runs up to this size, then compared
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """`factor`: the target size over the largest measured one; None: nothing was extrapolated from a size."""
+    """A value with its source. `factor`: target size / largest measured size; None if no size is involved."""
 
     value: float
     source: str
     factor: float | None = None
 
-    def times(self, by: float, why: str) -> Estimate:
-        """The same figure so many times; `why` says what it was multiplied by."""
-        return Estimate(self.value * by, f"{self.source}, {why}", self.factor)
+    def scaled(self, multiplier: float, reason: str) -> Estimate:
+        """The estimate multiplied by `multiplier`; `reason` is appended to its source."""
+        return Estimate(self.value * multiplier, f"{self.source}, {reason}", self.factor)
 
 
-ROUNDING = 1e-12  # below this a fit's figure is its rounding error, which differs from machine to machine
+ROUNDING_ERROR = 1e-12  # a smaller figure of a fit is its rounding error, which differs between machines
 
 
-def number(value: float) -> str:
-    """Three digits that count, with commas for thousands."""
-    if abs(value) < ROUNDING:
+def format_number(value: float) -> str:
+    """Format a value with three significant digits and with commas for thousands."""
+    if abs(value) < ROUNDING_ERROR:
         return "0"
     if abs(value) >= 100:
         return f"{round(value):,}"
@@ -41,56 +41,58 @@
     return text.rstrip("0").rstrip(".")
 
 
-def of_series(series: Series) -> Fit:
-    """The fit over the medians of a series."""
+def fit_series(series: Series) -> Fit:
+    """Fit the medians of a series."""
     return fit(series.sizes, series.medians)
 
 
-def at(slopes: Slopes, name: str, size: float) -> Estimate | None:
-    """The figure of a series at a size: as measured there, else by its fit. None: it was not measured."""
-    series = slopes.named(name)
+def estimate_at(slopes: Slopes, name: str, size: float) -> Estimate | None:
+    """The figure of a series at a size, as measured or else from the fit. None if the series is missing."""
+    series = slopes.find_series(name)
     if series is None:
         return None
     factor = size / series.largest.size
     measured = series.at(size)
     if measured is not None:
         return Estimate(measured, f"`{name}`, measured there", factor)
-    return Estimate(of_series(series).at(size), f"`{name}`, {_law(of_series(series))}", factor)
+    return Estimate(fit_series(series).at(size), f"`{name}`, {_describe_fit(fit_series(series))}", factor)
 
 
-def slope_of(slopes: Slopes, name: str, size: float) -> Estimate | None:
-    """What a size adds by the slope of a series alone, without its intercept."""
-    series = slopes.named(name)
+def estimate_by_slope(slopes: Slopes, name: str, size: float) -> Estimate | None:
+    """The slope of a series times a size, without the intercept. None if the series is missing."""
+    series = slopes.find_series(name)
     if series is None:
         return None
-    found = of_series(series)
-    source = f"`{name}`, slope {number(found.slope)} {series.unit} each"
-    return Estimate(found.slope * size, source, size / series.largest.size)
+    fitted = fit_series(series)
+    source = f"`{name}`, slope {format_number(fitted.slope)} {series.unit} each"
+    return Estimate(fitted.slope * size, source, size / series.largest.size)
 
 
-def _law(found: Fit) -> str:
-    if found.shape is Shape.FALLS:
-        return f"falls with size: the highest, {number(found.highest)}"
-    if found.shape is Shape.STEEPER and found.exponent is not None and found.factor is not None:
-        return f"power law {number(found.factor)} * n^{found.exponent:.2f}"
-    sign = "+" if found.slope >= 0 else "-"
-    return f"line {number(found.intercept)} {sign} {number(abs(found.slope))} n"
+def _describe_fit(fitted: Fit) -> str:
+    if fitted.shape is Shape.FALLS:
+        return f"falls with size: the highest, {format_number(fitted.max_value)}"
+    if fitted.shape is Shape.STEEPER and fitted.exponent is not None and fitted.factor is not None:
+        return f"power law {format_number(fitted.factor)} * n^{fitted.exponent:.2f}"
+    sign = "+" if fitted.slope >= 0 else "-"
+    return f"line {format_number(fitted.intercept)} {sign} {format_number(abs(fitted.slope))} n"
 
 
-def of_mesh(runs: Sequence[FullMeshRun], pick: Callable[[FullMeshRun], float | None],
+def estimate_mesh(runs: Sequence[FullMeshRun], get_figure: Callable[[FullMeshRun], float | None],
             members: float) -> Estimate | None:  # fmt: skip
-    """A figure of the runs in which every gateway is a member, at a number of members."""
-    points = [(run.members, value) for run in runs if (value := pick(run)) is not None]
-    if len(points) < LEAST_RUNS:
+    """A figure at a number of members, fitted over the runs in which every gateway is a Raft member.
+
+    None if there are too few runs."""
+    points = [(run.members, value) for run in runs if (value := get_figure(run)) is not None]
+    if len(points) < MIN_FIT_RUNS:
         return None
-    found = fit([size for size, _ in points], [value for _, value in points])
-    source = f"{len(points)} runs, {_law(found)}"
-    return Estimate(found.at(members), source, members / max(size for size, _ in points))
+    fitted = fit([size for size, _ in points], [value for _, value in points])
+    source = f"{len(points)} runs, {_describe_fit(fitted)}"
+    return Estimate(fitted.at(members), source, members / max(size for size, _ in points))
 
 
 @dataclass(frozen=True, slots=True)
 class Prediction:
-    """What the fit over the smaller scale runs says of a larger one, and what that one measured."""
+    """A figure of a larger scale run: predicted by the fit over the smaller runs, and as measured."""
 
     what: str
     unit: str
@@ -100,12 +102,12 @@
 
     @property
     def error(self) -> float:
-        """As a part of what was measured."""
+        """Relative to the measured value; 0 if that is 0."""
         return (self.predicted - self.measured) / self.measured if self.measured else 0.0
 
 
-Pick = Callable[[ScaleRun], float | None]
-FIGURES: tuple[tuple[str, str, Pick], ...] = (
+FigureGetter = Callable[[ScaleRun], float | None]
+PREDICTED_FIGURES: tuple[tuple[str, str, FigureGetter], ...] = (
     ("in force, p99", "ms", lambda run: run.in_force_ms_p99),
     ("in force, longest", "ms", lambda run: run.in_force_ms_max),
     ("a gateway's CPU", "ms/s", lambda run: run.gateway_cpu_ms_s),
@@ -116,42 +118,45 @@
     ("a replica's bytes", "B/s", lambda run: run.control_bytes_s),
     ("log entries", "entries/s", lambda run: run.log_entries_s),
 )
-LEAST_RUNS = 3
+MIN_FIT_RUNS = 3
 
 
-def of_runs(runs: Sequence[ScaleRun], pick: Pick, gateways: float, control: int) -> Estimate | None:
-    """A figure of the scale runs at a size: measured there, else by the fit over the runs without faults that
-    have as many replicas. None: too few runs."""
-    points = _points(runs, pick, control)
+def estimate_from_runs(
+    runs: Sequence[ScaleRun], get_figure: FigureGetter, gateways: float, control: int
+) -> Estimate | None:
+    """A figure of the scale runs at a size: as measured there, else from the fit over the runs without faults
+    and with the same number of replicas. None if there are too few runs."""
+    points = _points(runs, get_figure, control)
     if not points:
         return None
     largest = max(size for size, _ in points)
     factor = gateways / largest
-    # The real gateways beside the hollow ones make a size some thousandths larger than its name.
+    # A run also has real gateways beside its nominal number of hollow ones, so its size is some
+    # thousandths larger.
     if 0.99 <= factor <= 1.02:
         return Estimate(dict(points)[largest], f"scale run, {largest:,.0f} gateways", factor)
-    if len(points) < LEAST_RUNS:
+    if len(points) < MIN_FIT_RUNS:
         return None
-    found = fit([size for size, _ in points], [value for _, value in points])
-    return Estimate(found.at(gateways), f"{len(points)} scale runs, {_law(found)}", factor)
+    fitted = fit([size for size, _ in points], [value for _, value in points])
+    return Estimate(fitted.at(gateways), f"{len(points)} scale runs, {_describe_fit(fitted)}", factor)
 
 
 def predictions(runs: Sequence[ScaleRun]) -> list[Prediction]:
-    """Each figure of each run over `PREDICT_UP_TO` gateways against the line over the runs up to there."""
-    made: list[Prediction] = []
-    for large in without_faults(runs):
-        if large.gateways <= PREDICT_UP_TO:
+    """Each figure of each run above `MAX_FITTED_GATEWAYS`, with its prediction from the runs up to there."""
+    compared: list[Prediction] = []
+    for larger in without_faults(runs):
+        if larger.gateways <= MAX_FITTED_GATEWAYS:
             continue
-        for what, unit, pick in FIGURES:
-            points = _points(runs, pick, large.control)
-            small = [(size, value) for size, value in points if size <= PREDICT_UP_TO]
-            measured = pick(large)
-            if len(small) >= LEAST_RUNS and measured is not None:
-                found = fit([size for size, _ in small], [value for _, value in small])
-                made.append(Prediction(what, unit, large.gateways, found.at(large.gateways), measured))
-    return made
-
-
-def _points(runs: Sequence[ScaleRun], pick: Pick, control: int) -> list[tuple[float, float]]:
-    told = ((run.gateways, pick(run)) for run in without_faults(runs) if run.control == control)
-    return [(float(size), value) for size, value in told if value is not None]
+        for what, unit, get_figure in PREDICTED_FIGURES:
+            points = _points(runs, get_figure, larger.control)
+            smaller = [(size, value) for size, value in points if size <= MAX_FITTED_GATEWAYS]
+            measured = get_figure(larger)
+            if len(smaller) >= MIN_FIT_RUNS and measured is not None:
+                fitted = fit([size for size, _ in smaller], [value for _, value in smaller])
+                compared.append(Prediction(what, unit, larger.gateways, fitted.at(larger.gateways), measured))
+    return compared
+
+
+def _points(runs: Sequence[ScaleRun], get_figure: FigureGetter, control: int) -> list[tuple[float, float]]:
+    figures = ((run.gateways, get_figure(run)) for run in without_faults(runs) if run.control == control)
+    return [(float(size), value) for size, value in figures if value is not None]
--- a/stackrouter/capacity/even_parts.py
+++ b/stackrouter/capacity/even_parts.py
@@ -1,6 +1,6 @@
-"""What the decision module does where an even part of a volume's limit is less than a request. No I/O.
+"""How the decision module behaves where an even part of a volume's limit is less than one request. No I/O.
 
-Played with rackseam.control itself, in virtual time, under settings like those of tests/gateway.py.
+Simulated with rackseam.control itself, in virtual time, with settings like those of tests/gateway.py.
 """
 
 from __future__ import annotations
@@ -45,56 +45,56 @@
     tip_multiple=3.0,
     key_rest_us=100_000,
 )
-FILLED_US = 10_000_000  # after this long any bucket is full
+BUCKETS_FULL_US = 10_000_000  # after this time every bucket is full
 GRACE_US = 3_000_000
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
-    """What became of one request: whether it was sent, else refused; microseconds after it came."""
+class RequestResult:
+    """The result of one request: sent, or else refused or failed; microseconds after its arrival."""
 
     sent: bool
     after_us: int
 
 
-def with_gateways(gateways: int, position: int = 0) -> Settings:
-    """The settings of one of so many gateways."""
+def gateway_settings(gateways: int, position: int = 0) -> Settings:
+    """The settings of the gateway at `position` of so many gateways."""
     return replace(SETTINGS, gateways=gateways, position=position, seed=position)
 
 
-def ask_once(gateways: int, units: float) -> Ending:
-    """A gateway that has been up for long is asked for one request of a limited volume, whose requests are
-    spread over so many gateways: each has an even part of its limit."""
-    controller = Controller(with_gateways(gateways))
-    now = 50_000_000
-    controller.handle(now, [ListUpdate(ListKind.FULL, (NodeEntry("n0", shard=0),))])
-    now += FILLED_US
-    came = now
+def simulate_request(gateways: int, units: float) -> RequestResult:
+    """Submit one request of a limited volume to a gateway whose buckets are full. The volume's requests are
+    spread over so many gateways, so each has an even part of its limit."""
+    controller = Controller(gateway_settings(gateways))
+    now_us = 50_000_000
+    controller.handle(now_us, [ListUpdate(ListKind.FULL, (NodeEntry("n0", shard=0),))])
+    now_us += BUCKETS_FULL_US
+    arrived_us = now_us
     arrival = Arrival("r", 0, LIMITED_PLAN, "v", units, 0, gateways, "", GRACE_US)
-    actions = controller.handle(now, [arrival])
-    while (ending := _ending(actions, now - came)) is None:
-        now += next(action.in_us for action in actions if isinstance(action, SetTimer))
-        actions = controller.handle(now, [Timer("due")])
-    return ending
+    actions = controller.handle(now_us, [arrival])
+    while (result := _result(actions, now_us - arrived_us)) is None:
+        now_us += next(action.in_us for action in actions if isinstance(action, SetTimer))
+        actions = controller.handle(now_us, [Timer("due")])
+    return result
 
 
-def _ending(actions: list[Action], after_us: int) -> Ending | None:
+def _result(actions: list[Action], after_us: int) -> RequestResult | None:
     for action in actions:
         match action:
             case Send():
-                return Ending(True, after_us)
+                return RequestResult(True, after_us)
             case Refuse() | Fail():
-                return Ending(False, after_us)
+                return RequestResult(False, after_us)
     return None
 
 
-def most_gateways(units: float, of: int) -> int:
-    """Over how many gateways, `of` at most, a volume may be spread and its requests still be sent."""
-    least, most = 1, of
-    while least < most:
-        middle = (least + most + 1) // 2
-        if ask_once(middle, units).sent:
-            least = middle
+def max_gateways(units: float, limit: int) -> int:
+    """The highest number of gateways, up to `limit`, over which a volume can be spread and still be sent."""
+    low, high = 1, limit
+    while low < high:
+        middle = (low + high + 1) // 2
+        if simulate_request(middle, units).sent:
+            low = middle
         else:
-            most = middle - 1
-    return least
+            high = middle - 1
+    return low
--- a/stackrouter/capacity/measure/__init__.py
+++ b/stackrouter/capacity/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the program and its parts, one module a role, each point in a process of its own."""
+"""Measurements of the program and its parts, one module for each role; each point runs in its own process."""
--- a/stackrouter/capacity/measure/__main__.py
+++ b/stackrouter/capacity/measure/__main__.py
@@ -1,4 +1,4 @@
-"""One point by itself: `python -m stackrouter.capacity.measure NAME SIZE` prints its figures as JSON."""
+"""Measures one point: `python -m stackrouter.capacity.measure NAME SIZE` prints its figures as JSON."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 import sys
 
 from stackrouter.__main__ import GC_THRESHOLD
-from stackrouter.capacity.measure.plan import named
+from stackrouter.capacity.measure.plan import find_measurement
 from stackrouter.errors import StackrouterError
 
 
 def main() -> int:
     logging.disable(logging.INFO)
-    gc.set_threshold(GC_THRESHOLD)  # as a gateway has it
+    gc.set_threshold(GC_THRESHOLD)  # the threshold of a gateway process
     try:
-        print(json.dumps(named(sys.argv[1]).task(int(sys.argv[2]))))
+        print(json.dumps(find_measurement(sys.argv[1]).task(int(sys.argv[2]))))
     except StackrouterError as error:
         print(error.whole(), file=sys.stderr)
         return 1
--- a/stackrouter/capacity/measure/lists.py
+++ b/stackrouter/capacity/measure/lists.py
@@ -1,4 +1,4 @@
-"""A gateway takes the list of storage nodes, whole and one changed entry, against the number of nodes."""
+"""Measures how a gateway applies the whole list of storage nodes or one changed entry, by number of nodes."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 from stackrouter.capacity.measure.process import GatewayProcess, ping
 from stackrouter.errors import MeasureError
 
-TAKEN_S = 20.0  # a list that is not taken within this is an error
+READ_TIMEOUT_S = 20.0  # a list that is not read within this time is an error
 SETTLE_S = 0.4
-TAKING_S = 1.0  # once it has been read: taking it may go on for a while
+APPLY_S = 1.0  # after the list was read: the gateway may still be applying it
 PING_EVERY_S = 0.002
 CHANGES = 60
-WARM_MS = 86_400_000  # nodes started a day ago or earlier
+MIN_NODE_AGE_MS = 86_400_000  # nodes started at least a day ago, so none is cold
 
 Item = dict[str, Any]
 
 
 def endpoints(nodes: int) -> list[Item]:
-    """Discovery's entries of so many nodes, one shard a node, warm; names and addresses at random."""
+    """Discovery entries of so many warm nodes, one shard a node, with random names and addresses."""
     rng, now_ms = random.Random(7), time.time_ns() // 1_000_000
     return [
         {"name": f"s-{rng.getrandbits(32):08x}",
          "address": f"10.{rng.randrange(256)}.{rng.randrange(256)}.{i % 256}:{rng.randrange(7000, 8000)}",
          "zone": f"hall-{'abc'[i % 3]}", "type": "std", "group": i, "status": "up", "weight": 1.0,
-         "since_ms": now_ms - rng.randrange(WARM_MS, 30 * WARM_MS)}
+         "since_ms": now_ms - rng.randrange(MIN_NODE_AGE_MS, 30 * MIN_NODE_AGE_MS)}
         for i in range(nodes)
     ]  # fmt: skip
 
@@ -43,11 +43,11 @@
 
 
 class ListServer:
-    """Discovery: an empty list first, the whole list as the answer to the watch once `go` is set."""
+    """A discovery server: answers with an empty list, then with the whole list once `release` is set."""
 
-    def __init__(self, whole: bytes) -> None:
-        self.go, self.watched = Event(), Event()
-        self._answers = [body(1, True, []), whole]
+    def __init__(self, list_body: bytes) -> None:
+        self.release, self.list_read = Event(), Event()
+        self._answers = [body(1, True, []), list_body]
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
         self.address = f"127.0.0.1:{self._server.server_port}"
@@ -58,16 +58,16 @@
     def _serve(self, sock: socket.socket, _: object) -> None:
         while sock.recv(4096):
             if len(self._answers) == 1:
-                self.go.wait()
+                self.release.wait()
             if not self._answers:
-                self.watched.set()  # the watch after the whole list: it has been read
+                self.list_read.set()  # the watch that follows the whole list shows that the list was read
                 Event().wait()
             answer = self._answers.pop(0)
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(answer) + answer)
 
 
-class Pinger:
-    """Asks PING on one connection every `PING_EVERY_S`; `longest_ms`: the longest answer."""
+class PingProbe:
+    """Sends PING on one connection every `PING_EVERY_S`; `longest_ms`: the longest response time."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.longest_ms, self._sock = 0.0, sock
@@ -80,43 +80,43 @@
         while True:
             began = time.perf_counter()
             if not ping(self._sock):
-                raise MeasureError("the gateway no longer answers PING")
+                raise MeasureError("the gateway stopped answering PING")
             self.longest_ms = max(self.longest_ms, 1000 * (time.perf_counter() - began))
             gevent.sleep(PING_EVERY_S)
 
 
-def whole(nodes: int) -> dict[str, float]:
-    """A real gateway process is told a whole list while a client asks PING."""
-    told = body(2, True, endpoints(nodes))
-    server = ListServer(told)
+def whole_list(nodes: int) -> dict[str, float]:
+    """Send a whole list to a real gateway process while a client sends PING."""
+    list_body = body(2, True, endpoints(nodes))
+    server = ListServer(list_body)
     with GatewayProcess(server.address, gateways=targets.GATEWAYS, nodes=nodes) as gateway:
         empty_mib = gateway.rss_mib()
-        pinger = Pinger(gateway.connect())
+        probe = PingProbe(gateway.connect())
         gevent.sleep(SETTLE_S)
         idle_began, idle_ms = time.perf_counter(), gateway.cpu_ms()
         gevent.sleep(SETTLE_S)
-        pinger.longest_ms = 0.0
+        probe.longest_ms = 0.0
         began, before_ms = time.perf_counter(), gateway.cpu_ms()
         idle_ms_s = (before_ms - idle_ms) / (began - idle_began)
-        server.go.set()
-        if not server.watched.wait(TAKEN_S):
-            raise MeasureError(f"the list was not taken: {gateway.log()[-200:]}")
-        gevent.sleep(TAKING_S)
-        spent_ms = gateway.cpu_ms() - before_ms - idle_ms_s * (time.perf_counter() - began)
-        pinger.stop()
+        server.release.set()
+        if not server.list_read.wait(READ_TIMEOUT_S):
+            raise MeasureError(f"the gateway did not read the list: {gateway.log()[-200:]}")
+        gevent.sleep(APPLY_S)
+        used_ms = gateway.cpu_ms() - before_ms - idle_ms_s * (time.perf_counter() - began)
+        probe.stop()
         mib = gateway.rss_mib()
     server.stop()
     return {
-        "gateway.list.bytes": len(told) / 1024,
-        "gateway.list.whole_cpu": spent_ms,
-        "gateway.list.longest_hold": pinger.longest_ms,
+        "gateway.list.bytes": len(list_body) / 1024,
+        "gateway.list.whole_cpu": used_ms,
+        "gateway.list.longest_hold": probe.longest_ms,
         "gateway.memory.nodes": mib,
         "gateway.memory.list": mib - empty_mib,
     }
 
 
-def change(nodes: int) -> dict[str, float]:
-    """Engine, decision module and reading of the list without sockets: one entry changes, again and again."""
+def changed_entry(nodes: int) -> dict[str, float]:
+    """Measure list reading, engine and decision module without sockets; `CHANGES` times one entry changes."""
     from rackseam.interface import Plan, RequestClass, Settings
     from stackrouter.core.counters import Counters
     from stackrouter.core.engine import Engine, clock_us
@@ -143,12 +143,12 @@
     for n in range(CHANGES):
         item = items[n * nodes // CHANGES]
         item["status"] = "up" if item["status"] == "draining" else "draining"
-        read = json.loads(body(n + 2, False, [item]))
-        one = time.perf_counter()
-        discovery.follow(read)
+        answer = json.loads(body(n + 2, False, [item]))
+        started = time.perf_counter()
+        discovery.follow(answer)
         settled()
-        longest = max(longest, time.perf_counter() - one)
-    spent = time.process_time() - began
+        longest = max(longest, time.perf_counter() - started)
+    cpu_s = time.process_time() - began
     if len(engine.nodes) != nodes:
-        raise MeasureError(f"{len(engine.nodes)} nodes are known, not {nodes}")
-    return {"gateway.list.change_cpu": 1000 * spent / CHANGES, "gateway.list.change_hold": 1000 * longest}
+        raise MeasureError(f"{len(engine.nodes)} nodes are known instead of {nodes}")
+    return {"gateway.list.change_cpu": 1000 * cpu_s / CHANGES, "gateway.list.change_hold": 1000 * longest}
--- a/stackrouter/capacity/measure/plan.py
+++ b/stackrouter/capacity/measure/plan.py
@@ -1,4 +1,4 @@
-"""What `stackrouter bench capacity` measures: sizes, repeats and series of each measurement."""
+"""The measurements of `stackrouter bench capacity`: sizes, repeats and series of each."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Quantity:
-    """One series that a measurement yields, by its name in the task's result."""
+    """One series of a measurement; `name` is its key in the task's result."""
 
     name: str
     what: str
@@ -22,7 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """`task` is run `repeats` times at each of `sizes`, each time in a process of its own."""
+    """`task` runs `repeats` times at each of `sizes`, each time in its own process.
+
+    `fixed`: conditions that are equal at all sizes."""
 
     name: str
     role: str
@@ -41,7 +43,7 @@
 
 MEASUREMENTS = (
     Measurement(
-        "lists", "gateway", "nodes", NODE_SIZES, 2, lists.whole,
+        "lists", "gateway", "nodes", NODE_SIZES, 2, lists.whole_list,
         (
             Quantity("gateway.list.bytes", "the whole list as discovery tells it", "KiB"),
             Quantity("gateway.list.whole_cpu", "taking the whole list, CPU", "ms"),
@@ -52,7 +54,7 @@
         {"process": "python -m stackrouter, loopback", "gateways": targets.GATEWAYS},
     ),
     Measurement(
-        "changes", "gateway", "nodes", NODE_SIZES, 2, lists.change,
+        "changes", "gateway", "nodes", NODE_SIZES, 2, lists.changed_entry,
         (
             Quantity("gateway.list.change_cpu", "taking one changed entry, CPU", "ms"),
             Quantity("gateway.list.change_hold", "longest hold by one changed entry", "ms"),
@@ -106,7 +108,7 @@
         "cold nodes", "storage node", "gateways", (40, 400, 2_000, targets.GATEWAYS), 1, cold.first_sends,
         (Quantity("module.cold.first_send", "from a node's start to a gateway's first attempt there", "s"),),
         {"process": "decision module in virtual time", "requests_s": cold.REQUESTS_S,
-         "positions": cold.POSITIONS, "longest_s": cold.LONGEST_S},
+         "positions": cold.POSITIONS, "longest_s": cold.MAX_WAIT_S},
     ),
     Measurement(
         "replica by gateways", "control replica", "gateways", GATEWAY_SIZES, 2, replica.heartbeats,
@@ -176,5 +178,6 @@
 )  # fmt: skip
 
 
-def named(name: str) -> Measurement:
+def find_measurement(name: str) -> Measurement:
+    """The measurement of this name; StopIteration if there is none."""
     return next(m for m in MEASUREMENTS if m.name == name)
--- a/stackrouter/capacity/measure/process.py
+++ b/stackrouter/capacity/measure/process.py
@@ -1,4 +1,4 @@
-"""A real gateway process on loopback to measure from outside, and what the kernel says of it (Linux)."""
+"""A real gateway process on loopback, with its CPU and memory figures from /proc (Linux)."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from stackrouter.errors import MeasureError
 from stackrouter.standins.fleet import Scene, free_port, settings
 
-START_S = 30.0  # a gateway that does not answer within this has not started
+START_S = 30.0  # a gateway that does not answer within this time counts as not started
 STOP_S = 8.0
 PING = b"*1\r\n$4\r\nPING\r\n"
 PONG = b"+PONG\r\n"
-SPARE_SOCKETS = 32  # descriptors that a gateway keeps back (stackrouter/config.py)
-CLIENT_PART = 0.6 * 0.45  # part of the rest up to which resting client connections are not closed
+SPARE_SOCKETS = 32  # descriptors that a gateway reserves (stackrouter/config.py)
+CLIENT_PART = 0.6 * 0.45  # part of the rest up to which idle client connections are not closed
 
 
 def cpu_ms(pid: int) -> float:
@@ -37,38 +37,38 @@
 
 
 def sockets_for(clients: int) -> int:
-    """The limit `sockets` of a gateway that keeps so many resting client connections."""
+    """The limit `sockets` with which a gateway keeps so many idle client connections."""
     return SPARE_SOCKETS + int(clients / CLIENT_PART) + 64
 
 
 class GatewayProcess:
-    """Use as a context: `python -m stackrouter` with a configuration of its own; it ends on the way out."""
+    """A context manager: a `python -m stackrouter` process with its own configuration, stopped on exit."""
 
     def __init__(self, discovery: str, *, gateways: int, nodes: int = 3, clients: int = 100,
                  memory_mb: int = 2048, aim_ms: int = 400, deadline_ms: int = 2000,
                  keepalive_us: int = 15_000_000) -> None:  # fmt: skip
         self.port = free_port()
-        told = settings(Scene(gateways=gateways, nodes=max(1, nodes)), 100.0)
-        for profile in told["Profiles"]:
+        gateway_settings = settings(Scene(gateways=gateways, nodes=max(1, nodes)), 100.0)
+        for profile in gateway_settings["Profiles"]:
             profile |= {"AimUs": aim_ms * 1000, "HardLimitUs": deadline_ms * 1000}
-        told["Caps"] |= {"MaxOpen": 100_000, "KeepaliveUs": keepalive_us}
-        # Over a restart of all gateways a bucket starts nearly empty; what is measured here has no limits.
-        told["Grades"] = [{"Name": "basic", "Shares": 1.0, "UsualRate": 100.0, "Price": 1.0}]
+        gateway_settings["Caps"] |= {"MaxOpen": 100_000, "KeepaliveUs": keepalive_us}
+        # Buckets start nearly empty, as after a restart of all gateways, so the measured plan has no limit.
+        gateway_settings["Grades"] = [{"Name": "basic", "Shares": 1.0, "UsualRate": 100.0, "Price": 1.0}]
         self._config = {
             "name": "measured",
             "listen": f"127.0.0.1:{self.port}",
             "discovery": discovery,
             "seed": "7",
             "limits": {"memory_mb": memory_mb, "sockets": sockets_for(clients)},
-            "settings": {**told, "Position": 0},
+            "settings": {**gateway_settings, "Position": 0},
         }
         self._folder = tempfile.TemporaryDirectory(prefix="stackrouter-capacity-")
-        self._program: subprocess.Popen[bytes] | None = None
+        self._process: subprocess.Popen[bytes] | None = None
 
     @property
     def pid(self) -> int:
-        assert self._program is not None
-        return self._program.pid
+        assert self._process is not None
+        return self._process.pid
 
     def __enter__(self) -> GatewayProcess:
         folder = Path(self._folder.name)
@@ -76,7 +76,7 @@
         file.write_text(json.dumps(self._config), encoding="utf-8")
         environ = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
         with (folder / "log").open("wb") as log:
-            self._program = subprocess.Popen(
+            self._process = subprocess.Popen(
                 [sys.executable, "-m", "stackrouter"], env={**environ, "GW_CONFIG": str(file)},
                 stdout=log, stderr=log, start_new_session=True,
             )  # fmt: skip
@@ -88,18 +88,18 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        program = self._program
-        if program is not None and program.poll() is None:
-            program.send_signal(signal.SIGTERM)
+        process = self._process
+        if process is not None and process.poll() is None:
+            process.send_signal(signal.SIGTERM)
             try:
-                program.wait(STOP_S)
+                process.wait(STOP_S)
             except subprocess.TimeoutExpired:
-                program.kill()
-                program.wait()
+                process.kill()
+                process.wait()
         self._folder.cleanup()
 
     def connect(self) -> socket.socket:
-        """A client's connection."""
+        """Open a client connection."""
         sock = socket.create_connection(("127.0.0.1", self.port), timeout=START_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
@@ -114,14 +114,14 @@
         return rss_mib(self.pid)
 
     def _await_start(self) -> None:
-        until = time.monotonic() + START_S
-        while not self._answers():
-            assert self._program is not None
-            if self._program.poll() is not None or time.monotonic() > until:
+        deadline = time.monotonic() + START_S
+        while not self._answers_ping():
+            assert self._process is not None
+            if self._process.poll() is not None or time.monotonic() > deadline:
                 raise MeasureError(self.log().strip().splitlines()[-1:] or "the gateway did not start")
             gevent.sleep(0.02)
 
-    def _answers(self) -> bool:
+    def _answers_ping(self) -> bool:
         try:
             with self.connect() as sock:
                 return ping(sock)
@@ -130,6 +130,6 @@
 
 
 def ping(sock: socket.socket) -> bool:
-    """One PING and its answer."""
+    """Send PING; whether the answer is PONG."""
     sock.sendall(PING)
     return bool(sock.recv(16) == PONG)
--- a/stackrouter/capacity/measure/run.py
+++ b/stackrouter/capacity/measure/run.py
@@ -1,4 +1,4 @@
-"""Runs measurements one point after the other and collects their series."""
+"""Runs measurements, one point after another, and collects their series."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from stackrouter.capacity.slopes import Machine, Point, Series, Slopes
 from stackrouter.errors import MeasureError
 
-POINT_S = 120.0  # one point may take so long
+POINT_TIMEOUT_S = 120.0  # timeout of one point
 
 
 def machine() -> Machine:
-    """This machine and the commit of the tree that the command runs in."""
+    """Describe this machine and the commit of the current directory's tree."""
     return Machine(
         cores=os.cpu_count() or 1,
         python=platform.python_version(),
@@ -29,21 +29,22 @@
 
 
 def measure(measurements: Sequence[Measurement], progress: Callable[[float], None]) -> Slopes:
-    """All series of these measurements; MeasureError names the point that ended without its figures."""
-    here = machine()  # before the first point: what was measured is the commit that it began with
-    points = sum(len(m.sizes) * m.repeats for m in measurements)
+    """Run the measurements and return their series; MeasureError names a point that ended without figures."""
+    # Before the first point, since the commit at the start is the one that is measured.
+    machine_info = machine()
+    point_count = sum(len(m.sizes) * m.repeats for m in measurements)
     done = 0
     series: list[Series] = []
     for measurement in measurements:
         values: dict[str, dict[int, list[float]]] = {q.name: {} for q in measurement.quantities}
         for _ in range(measurement.repeats):
             for size in measurement.sizes:
-                for name, value in _point(measurement, size).items():
+                for name, value in _run_point(measurement, size).items():
                     values[name].setdefault(size, []).append(round(value, 4))
                 done += 1
-                progress(done / points)
+                progress(done / point_count)
         series += _series(measurement, values)
-    return Slopes(here, tuple(series))
+    return Slopes(machine_info, tuple(series))
 
 
 def _series(measurement: Measurement, values: dict[str, dict[int, list[float]]]) -> list[Series]:
@@ -61,21 +62,21 @@
     ]
 
 
-def _point(measurement: Measurement, size: int) -> dict[str, float]:
+def _run_point(measurement: Measurement, size: int) -> dict[str, float]:
     command = [sys.executable, "-m", "stackrouter.capacity.measure", measurement.name, str(size)]
-    place = f"{measurement.name} at {size}"
+    point_name = f"{measurement.name} at {size}"
     try:
-        done = subprocess.run(command, capture_output=True, text=True, timeout=POINT_S, check=False)
+        done = subprocess.run(command, capture_output=True, text=True, timeout=POINT_TIMEOUT_S, check=False)
     except subprocess.TimeoutExpired:
-        raise MeasureError(f"no figures within {POINT_S:.0f} s", key=place) from None
+        raise MeasureError(f"no figures within {POINT_TIMEOUT_S:.0f} s", key=point_name) from None
     if done.returncode or not done.stdout.strip():
-        raise MeasureError(done.stderr.strip().splitlines()[-1:] or "ended", key=place)
+        raise MeasureError(done.stderr.strip().splitlines()[-1:] or "ended without output", key=point_name)
     figures: dict[str, float] = json.loads(done.stdout.splitlines()[-1])
     return figures
 
 
 def _commit() -> str:
-    """Short id of the commit, with a mark where files differ from it; `unknown` outside a repository."""
+    """Short commit id, with a suffix if files differ from it; `unknown` outside a repository."""
     command = ["git", "describe", "--always", "--dirty", "--abbrev=10"]
-    told = subprocess.run(command, capture_output=True, text=True, check=False)
-    return told.stdout.strip() or "unknown"
+    described = subprocess.run(command, capture_output=True, text=True, check=False)
+    return described.stdout.strip() or "unknown"
--- a/stackrouter/capacity/parts.py
+++ b/stackrouter/capacity/parts.py
@@ -1,4 +1,4 @@
-"""Where a 7,800th part is less than one request: limits by volume, and cold nodes' budget."""
+"""Where an even part over 7,800 gateways is below one request: limits by volume, and a cold node's budget."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from rackseam.slow_start import CONTENDERS_MEMORY_US, LEAST_COLD_SHARE, TURNS_PART
 from stackrouter.capacity import targets
-from stackrouter.capacity.estimate import number
-from stackrouter.capacity.even_parts import LIMITED, SETTINGS, ask_once, most_gateways
+from stackrouter.capacity.estimate import format_number
+from stackrouter.capacity.even_parts import LIMITED, SETTINGS, max_gateways, simulate_request
 from stackrouter.capacity.load import NODE_REQUESTS_S, REQUESTS_S
 
 
 @dataclass(frozen=True, slots=True)
 class PartRow:
-    """One line: the even part, and what the rule gives."""
+    """One line of the table: the even part, and the result of the rule."""
 
     what: str
     part: str
@@ -22,66 +22,67 @@
 
 
 def rows() -> list[PartRow]:
-    """Reckoned from the settings, or played with the decision module; no measurement of time in it."""
+    """Rows computed from the settings or simulated with the decision module; no time is measured."""
     return [*_limits(), *_cold()]
 
 
 def _limits() -> list[PartRow]:
     gateways = targets.GATEWAYS
     mean, largest = SETTINGS.mean_units, SETTINGS.max_units
-    ending = ask_once(gateways, mean)
-    told = (
-        "sent" if ending.sent else f"refused after {ending.after_us / 1000:.0f} ms, and so is every later one"
+    result = simulate_request(gateways, mean)
+    outcome = (
+        "sent" if result.sent else f"refused after {result.after_us / 1000:.0f} ms, and so is every later one"
     )
     return [
         PartRow(
-            f"a volume's limit ({number(LIMITED.limit_units_per_s)} units/s, burst "
-            f"{number(LIMITED.burst_units)}, tolerance {number(LIMITED.tolerance_units)}), spread over all "
-            f"{gateways:,} gateways",
-            f"{number(LIMITED.limit_units_per_s / gateways)} units/s, burst "
-            f"{number(LIMITED.burst_units / gateways)} units: below one request of {number(mean)}",
-            f"a request of {number(mean)} units is {told}",
+            f"a volume's limit ({format_number(LIMITED.limit_units_per_s)} units/s, burst "
+            f"{format_number(LIMITED.burst_units)}, tolerance {format_number(LIMITED.tolerance_units)}), "
+            f"spread over all {gateways:,} gateways",
+            f"{format_number(LIMITED.limit_units_per_s / gateways)} units/s, burst "
+            f"{format_number(LIMITED.burst_units / gateways)} units: below one request "
+            f"of {format_number(mean)}",
+            f"a request of {format_number(mean)} units is {outcome}",
         ),
         PartRow(
-            f"the same volume, requests of {number(mean)} units (the mean)",
+            f"the same volume, requests of {format_number(mean)} units (the mean)",
             "1 / gateways that its clients use (`hosts`)",
-            f"sent as long as these are {most_gateways(mean, gateways)} or fewer; beyond, none ever is",
+            f"sent as long as these are {max_gateways(mean, gateways)} or fewer; beyond, none ever is",
         ),
         PartRow(
-            f"the same volume, requests of {number(largest)} units (the largest)",
+            f"the same volume, requests of {format_number(largest)} units (the largest)",
             "the same",
-            f"sent as long as these are {most_gateways(largest, gateways)} or fewer",
+            f"sent as long as these are {max_gateways(largest, gateways)} or fewer",
         ),
     ]
 
 
-def asked_part() -> float:
-    """Part of all nodes for which one gateway is asked within the module's memory of it."""
-    asked = REQUESTS_S * CONTENDERS_MEMORY_US / 1e6 / targets.NODES
-    return 1 - math.exp(-asked)
+def requested_part() -> float:
+    """Part of all nodes for which a gateway gets a request within the time that the module remembers one."""
+    requests_per_node = REQUESTS_S * CONTENDERS_MEMORY_US / 1e6 / targets.NODES
+    return 1 - math.exp(-requests_per_node)
 
 
 def cold_turns() -> float:
-    """Turns of one mean request, all gateways together, from a node's start until it counts as warm."""
+    """Turns of one mean request each, over all gateways, from a node's start until it counts as warm."""
     pace = TURNS_PART * SETTINGS.cold_bears_units / (SETTINGS.mean_units * SETTINGS.fall_us)
     growth = (1 / max(SETTINGS.cold_share, LEAST_COLD_SHARE) - 1) / SETTINGS.cold_us
     return pace * SETTINGS.cold_us * (1 + growth * SETTINGS.cold_us / 2)
 
 
 def _cold() -> list[PartRow]:
-    contenders = asked_part() * targets.GATEWAYS
-    even = max(
+    contenders = requested_part() * targets.GATEWAYS
+    even_units = max(
         SETTINGS.cold_bears_units / targets.GATEWAYS, SETTINGS.cold_bears_units * TURNS_PART / contenders
     )
-    wanted = NODE_REQUESTS_S * SETTINGS.cold_us / 1e6
+    wanted_requests = NODE_REQUESTS_S * SETTINGS.cold_us / 1e6
     return [
         PartRow(
-            f"a cold node's budget ({number(SETTINGS.cold_bears_units)} units a second at its start, cold "
-            f"for {SETTINGS.cold_us / 1e6:.0f} s)",
-            f"{number(even)} units a gateway, with {number(contenders)} gateways that have work for it: "
-            "below one request",
-            f"turns of one request: {number(cold_turns())} for all gateways together while it is cold, where "
-            f"{number(wanted)} requests are asked for it in that time; a gateway whose first was answered "
-            "goes on",
+            f"a cold node's budget ({format_number(SETTINGS.cold_bears_units)} units a second at its start, "
+            f"cold for {SETTINGS.cold_us / 1e6:.0f} s)",
+            f"{format_number(even_units)} units a gateway, with {format_number(contenders)} gateways "
+            "that have work for it: below one request",
+            f"turns of one request: {format_number(cold_turns())} for all gateways together while it is "
+            f"cold, where {format_number(wanted_requests)} requests are asked for it in that time; a gateway "
+            "whose first was answered goes on",
         )
     ]
--- a/stackrouter/capacity/plot.py
+++ b/stackrouter/capacity/plot.py
@@ -1,4 +1,4 @@
-"""The plot beside the capacity page: measured series and their fits, as one small PNG."""
+"""The plot of the capacity page: measured series and their fits in one small PNG."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 from matplotlib.figure import Figure
 
-from stackrouter.capacity.estimate import of_series
+from stackrouter.capacity.estimate import fit_series
 from stackrouter.capacity.slopes import Series, Slopes
 
-SHOWN = (
+PLOTTED_SERIES = (
     "gateway.list.whole_cpu",
     "gateway.list.change_cpu",
     "gateway.memory.clients_idle",
@@ -31,11 +31,11 @@
 
 
 def write_plot(slopes: Slopes, file: Path) -> None:
-    """One panel for each series of `SHOWN` that was measured."""
-    shown = [series for name in SHOWN if (series := slopes.named(name)) is not None]
-    figure = Figure(figsize=(4 * COLUMNS, 2.6 * max(1, -(-len(shown) // COLUMNS))))
-    for place, series in enumerate(shown, 1):
-        axes = figure.add_subplot(-(-len(shown) // COLUMNS), COLUMNS, place)
+    """Write a plot with one panel for each measured series of `PLOTTED_SERIES`."""
+    plotted = [series for name in PLOTTED_SERIES if (series := slopes.find_series(name)) is not None]
+    figure = Figure(figsize=(4 * COLUMNS, 2.6 * max(1, -(-len(plotted) // COLUMNS))))
+    for position, series in enumerate(plotted, 1):
+        axes = figure.add_subplot(-(-len(plotted) // COLUMNS), COLUMNS, position)
         _panel(axes, series)
     figure.tight_layout()
     figure.savefig(file, dpi=DOTS_PER_INCH, metadata={"Software": None})
@@ -43,11 +43,11 @@
 
 def _panel(axes: matplotlib.axes.Axes, series: Series) -> None:
     sizes: Sequence[float] = series.sizes
-    found = of_series(series)
+    fitted = fit_series(series)
     for point in series.points:
         axes.plot([point.size] * len(point.values), point.values, "o", color="tab:blue", markersize=3)
-    between = np.geomspace(min(sizes), max(sizes), 50)
-    axes.plot(between, [found.at(size) for size in between], color="tab:orange", linewidth=1)
+    curve_sizes = np.geomspace(min(sizes), max(sizes), 50)
+    axes.plot(curve_sizes, [fitted.at(size) for size in curve_sizes], color="tab:orange", linewidth=1)
     axes.set_xscale("log")
     if all(value > 0 for point in series.points for value in point.values):
         axes.set_yscale("log")
--- a/stackrouter/capacity/reuse.py
+++ b/stackrouter/capacity/reuse.py
@@ -1,9 +1,9 @@
-"""A model of kept connections to storage nodes: how many attempts find one. No I/O, time in seconds.
+"""A model of kept connections to storage nodes: the share of attempts that find one. No I/O, time in seconds.
 
-The rule is the pool's (net/pool.py): a connection carries one attempt at a time; one that is idle may be used
-again within 0.4 of the node's keep-alive, the one used last first; after that it is closed. What the pool
-learns from resets, and the bound on its sockets, are left out. Attempts for a node come at random (Poisson),
-spread evenly over the nodes.
+The rule is that of net/pool.py: a connection carries one attempt at a time; an idle one may be reused within
+0.4 of the node's keep-alive, the most recently used first, and is then closed. The model leaves out what the
+pool learns from resets and its limit on sockets. Attempts at a node arrive at random (Poisson), spread evenly
+over the nodes.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 import random
 from dataclasses import dataclass
 
-IDLE_PART = 0.4  # as in net/pool.py; tests/test_capacity.py holds the two together
+IDLE_PART = 0.4  # as in net/pool.py; tests/test_capacity.py checks that both are equal
 
 
 @dataclass(frozen=True, slots=True)
 class Reuse:
-    """`share`: of the attempts, those that found a kept connection; `held`: connections that one gateway
-    holds to one node on the mean, idle or not."""
+    """`share`: part of the attempts that found a kept connection; `held`: mean number of connections, idle or
+    busy, that one gateway holds to one node."""
 
     share: float
     held: float
 
 
-def play(rate_s: float, service_s: float, keepalive_s: float, attempts: int, seed: int) -> Reuse:
-    """So many attempts at one node, at `rate_s` from one gateway."""
+def simulate(rate_s: float, service_s: float, keepalive_s: float, attempts: int, seed: int) -> Reuse:
+    """Simulate `attempts` attempts of one gateway at one node, `rate_s` a second."""
     rng, keep_s = random.Random(seed), keepalive_s * IDLE_PART
-    idle: list[float] = []  # since when, oldest first
-    busy: list[float] = []  # until when, a heap
+    idle: list[float] = []  # time since when each is idle, oldest first
+    busy: list[float] = []  # heap of the times at which attempts end
     now = held_s = 0.0
-    found = 0
+    reused = 0
     for _ in range(attempts):
         now += rng.expovariate(rate_s)
         while busy and busy[0] <= now:
@@ -41,14 +41,14 @@
         del idle[:expired]
         if idle:
             held_s += now - idle.pop()
-            found += 1
+            reused += 1
         held_s += service_s
         heapq.heappush(busy, now + service_s)
-    return Reuse(found / attempts, held_s / now)
+    return Reuse(reused / attempts, held_s / now)
 
 
 def expected_share(rate_s: float, service_s: float, keepalive_s: float) -> float:
-    """What the model tends to where attempts hardly ever overlap: the next one comes within the time that the
-    connection is kept, and not before it is free."""
+    """The share that the model approaches where attempts hardly ever overlap: the probability that the next
+    attempt arrives after the connection is free and before it is closed."""
     keep_s = keepalive_s * IDLE_PART
     return math.exp(-rate_s * service_s) - math.exp(-rate_s * (service_s + keep_s))
--- a/stackrouter/capacity/rows.py
+++ b/stackrouter/capacity/rows.py
@@ -7,14 +7,14 @@
 from enum import Enum
 
 from stackrouter.capacity import targets
-from stackrouter.capacity.estimate import Estimate, Pick, number, of_runs
+from stackrouter.capacity.estimate import Estimate, FigureGetter, estimate_from_runs, format_number
 from stackrouter.capacity.scale import ScaleRun
 
 NOT_MEASURED = "not measured"
 
 
 class Mechanism(Enum):
-    """Whether what carries a figure is there."""
+    """How far the mechanism behind a figure is implemented."""
 
     BUILT = "built"
     PARTLY = "partly"
@@ -37,34 +37,35 @@
     mechanism: str
 
     @property
-    def lacks(self) -> bool:
-        """Whether the mechanism is not there, or not whole."""
+    def is_incomplete(self) -> bool:
+        """Whether the mechanism is missing or only partly built."""
         return not self.mechanism.startswith(f"`{Mechanism.BUILT.value}`")
 
 
-def row(what: str, estimate: Estimate | None, unit: str, mechanism: Mechanism, lacks: str = "",
+def row(what: str, estimate: Estimate | None, unit: str, mechanism: Mechanism, missing: str = "",
         budget: float | None = None, budget_unit: str = "") -> Row:  # fmt: skip
-    """A row from an estimate; None: its run is missing, and the row says so."""
-    told = f"`{mechanism.value}`" + (f": {lacks}" if lacks else "")
-    limit = "" if budget is None else f"{number(budget)} {budget_unit or unit}".strip()
+    """A row from an estimate; without an estimate the row says that it is not measured."""
+    mechanism_text = f"`{mechanism.value}`" + (f": {missing}" if missing else "")
+    budget_text = "" if budget is None else f"{format_number(budget)} {budget_unit or unit}".strip()
     if estimate is None:
-        return Row(what, NOT_MEASURED, "", "", limit, False, told)
+        return Row(what, NOT_MEASURED, "", "", budget_text, False, mechanism_text)
     over = budget is not None and estimate.value > budget
-    factor = "" if estimate.factor is None else f"x {number(estimate.factor)}"
-    figure = f"{number(estimate.value)} {unit}".strip()
-    return Row(what, figure, estimate.source, factor, limit, over, told)
+    factor = "" if estimate.factor is None else f"x {format_number(estimate.factor)}"
+    figure = f"{format_number(estimate.value)} {unit}".strip()
+    return Row(what, figure, estimate.source, factor, budget_text, over, mechanism_text)
 
 
-def reckoned(value: float, how: str) -> Estimate:
-    """A figure that follows from the target, or from constants of the program, alone."""
-    return Estimate(value, how)
+def computed(value: float, source: str) -> Estimate:
+    """A figure computed from the target or from the program's constants, without a measurement."""
+    return Estimate(value, source)
 
 
-def at_target(runs: Sequence[ScaleRun], pick: Pick) -> Estimate | None:
-    """At the target size, from the runs with most replicas that reach furthest."""
-    found: Estimate | None = None
+def estimate_at_target(runs: Sequence[ScaleRun], get_figure: FigureGetter) -> Estimate | None:
+    """A figure at the target size, from the runs with the number of replicas that has the lowest
+    extrapolation factor; of equals, the highest number."""
+    best: Estimate | None = None
     for control in sorted({run.control for run in runs}):
-        estimate = of_runs(runs, pick, targets.GATEWAYS, control)
-        if estimate is not None and (found is None or (estimate.factor or 1.0) <= (found.factor or 1.0)):
-            found = estimate
-    return found
+        estimate = estimate_from_runs(runs, get_figure, targets.GATEWAYS, control)
+        if estimate is not None and (best is None or (estimate.factor or 1.0) <= (best.factor or 1.0)):
+            best = estimate
+    return best
--- a/stackrouter/capacity/scale.py
+++ b/stackrouter/capacity/scale.py
@@ -1,7 +1,7 @@
 """The files of whole runs: docs/capacity/scale.json (`fleet scale`) and full-mesh.json (`fleet run`).
 
-Each is an array of the runs' last lines with --json, scale.json also of runs that did not end. Only what the
-page uses is read; further keys are left alone. A file that is not there is an array without runs.
+Each is an array of the last lines that the runs print with --json; scale.json also has entries for runs that
+did not end. Only the keys that the page uses are read, others are ignored. A missing file means no runs.
 """
 
 from __future__ import annotations
@@ -18,13 +18,14 @@
 from stackrouter.errors import CapacityFileError
 
 Count = Annotated[int, Ge(0)]
-SIZE = "size"  # purpose of the runs from which larger sizes are predicted
+SIZE_PURPOSE = "size"  # purpose of the runs from which larger sizes are predicted
 
 
 @dataclass(frozen=True, slots=True)
 class ScaleRun:
-    """One run of `stackrouter fleet scale`: milliseconds, milliseconds of CPU a second, MiB, bytes a second.
-    Figures of a replica are the mean over all; of a gateway the mean over the real ones, control's part."""
+    """One run of `stackrouter fleet scale`, in milliseconds, milliseconds of CPU a second, MiB and bytes a
+    second. Replica figures are the mean over all replicas; gateway figures the mean over the real gateways,
+    for the control plane's part alone."""
 
     hollow: Count
     real: Count
@@ -59,7 +60,7 @@
     faults_by_kind: dict[str, int] = field(default_factory=dict)
     broken: tuple[str, ...] = ()
     ok: bool = True
-    purpose: str = SIZE
+    purpose: str = SIZE_PURPOSE
 
     @property
     def gateways(self) -> int:
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailedRun:
-    """A scale run that did not end: its command, and what was said."""
+    """A scale run that did not end: its command and the reason given."""
 
     command: str
     failed: str
@@ -80,8 +81,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleRuns:
-    """What is in scale.json. Predictions that were written there before a run are left alone: the page
-    makes its own from the runs."""
+    """The entries of scale.json. Predictions written there before a run are ignored: the page computes its
+    own from the runs."""
 
     runs: tuple[ScaleRun, ...] = ()
     failed: tuple[FailedRun, ...] = ()
@@ -90,7 +91,7 @@
 @dataclass(frozen=True, slots=True)
 class FullMeshRun:
     """One run of `stackrouter fleet run`: every gateway is a member of the Raft group. CPU in milliseconds a
-    second of each member over its life, `cpu_steady_ms_s` without its start where the run tells it."""
+    second of each member over its life; `cpu_steady_ms_s` leaves out its start, if the run has it."""
 
     members: int
     failed: int = 0
@@ -111,12 +112,12 @@
 
     @property
     def cpu_median(self) -> float | None:
-        """Of all members, without their start where the run tells it."""
+        """Median over the members, without their start if the run has that figure."""
         return _median(self.cpu_steady_ms_s or self.cpu_ms_s)
 
     @property
     def cpu_highest(self) -> float | None:
-        """The busiest member's: the leader's."""
+        """CPU of the busiest member, which is the leader."""
         return max(self.cpu_steady_ms_s or self.cpu_ms_s, default=None)
 
     @property
@@ -132,56 +133,58 @@
 
 
 def read_scale(path: Path) -> ScaleRuns:
-    """The runs of scale.json; CapacityFileError names the file and the key that is wrong."""
+    """Read the runs of scale.json; CapacityFileError names the file and the invalid key."""
     entries: tuple[dict[str, Any], ...] = _read(path, TypeAdapter(tuple[dict[str, Any], ...]), ())
     runs: list[ScaleRun] = []
     failed: list[FailedRun] = []
-    for place, entry in enumerate(entries):
+    for index, entry in enumerate(entries):
         if "hollow" in entry:
-            runs.append(_checked(path, TypeAdapter(ScaleRun), entry, place))
+            runs.append(_validate(path, TypeAdapter(ScaleRun), entry, index))
         elif "failed" in entry:
-            failed.append(_checked(path, TypeAdapter(FailedRun), entry, place))
+            failed.append(_validate(path, TypeAdapter(FailedRun), entry, index))
     return ScaleRuns(tuple(runs), tuple(failed))
 
 
 def read_full_mesh(path: Path) -> tuple[FullMeshRun, ...]:
-    """The runs of full-mesh.json."""
+    """Read the runs of full-mesh.json; CapacityFileError names the file and the invalid key."""
     return _read(path, TypeAdapter(tuple[FullMeshRun, ...]), ())
 
 
-def _read(path: Path, adapter: TypeAdapter[Value], nothing: Value) -> Value:
+def _read(path: Path, adapter: TypeAdapter[Value], default: Value) -> Value:
     if not path.exists():
-        return nothing
+        return default
     try:
         return adapter.validate_json(path.read_bytes())
     except OSError as error:
         raise CapacityFileError(error.strerror, file=path) from None
     except ValidationError as error:
-        raise _wrong(path, error) from None
+        raise _file_error(path, error) from None
 
 
-def _checked(path: Path, adapter: TypeAdapter[Value], entry: dict[str, Any], place: int) -> Value:
+def _validate(path: Path, adapter: TypeAdapter[Value], entry: dict[str, Any], index: int) -> Value:
     try:
         return adapter.validate_python(entry)
     except ValidationError as error:
-        raise _wrong(path, error, str(place)) from None
+        raise _file_error(path, error, str(index)) from None
 
 
-def _wrong(path: Path, error: ValidationError, *place: str) -> CapacityFileError:
+def _file_error(path: Path, error: ValidationError, *prefix: str) -> CapacityFileError:
     first = error.errors()[0]
-    key = ".".join([*place, *(str(part) for part in first["loc"])])
+    key = ".".join([*prefix, *(str(part) for part in first["loc"])])
     return CapacityFileError(first["msg"], file=path, key=key)
 
 
 def without_faults(runs: Sequence[ScaleRun]) -> list[ScaleRun]:
-    """The runs without faults that were made to show a size, by size; of several at one size the last."""
-    sizes = {(run.gateways, run.control): run for run in runs if not run.faults and run.purpose == SIZE}
+    """The runs without faults made for a size, sorted by size; the last run if a size has several."""
+    sizes = {
+        (run.gateways, run.control): run for run in runs if not run.faults and run.purpose == SIZE_PURPOSE
+    }
     return [run for _, run in sorted(sizes.items())]
 
 
 @dataclass(frozen=True, slots=True)
 class RunGroup:
-    """Runs of one purpose and size, over several seeds or with faults: sums, and the worst of each figure."""
+    """Runs of one purpose and size, over several seeds or with faults: sums, and the highest of each time."""
 
     purpose: str
     hollow: int
@@ -197,13 +200,13 @@
     not_held: tuple[str, ...]
 
 
-def groups(runs: Sequence[ScaleRun]) -> list[RunGroup]:
-    """The runs with faults and those of other purposes, grouped."""
-    found: dict[tuple[str, int, int, bool], list[ScaleRun]] = {}
+def group_runs(runs: Sequence[ScaleRun]) -> list[RunGroup]:
+    """The runs with faults and those with other purposes, grouped by purpose, size and replicas."""
+    runs_by_key: dict[tuple[str, int, int, bool], list[ScaleRun]] = {}
     for run in runs:
-        if run.faults or run.purpose != SIZE:
-            found.setdefault((run.purpose, run.hollow, run.control, run.faults > 0), []).append(run)
-    return [_group(key, found[key]) for key in sorted(found)]
+        if run.faults or run.purpose != SIZE_PURPOSE:
+            runs_by_key.setdefault((run.purpose, run.hollow, run.control, run.faults > 0), []).append(run)
+    return [_group(key, runs_by_key[key]) for key in sorted(runs_by_key)]
 
 
 def _group(key: tuple[str, int, int, bool], runs: Sequence[ScaleRun]) -> RunGroup:
@@ -227,5 +230,5 @@
 
 
 def with_faults(runs: Sequence[ScaleRun]) -> list[ScaleRun]:
-    """The runs with faults, by size."""
+    """The runs with faults, sorted by size and seed."""
     return sorted((run for run in runs if run.faults), key=lambda run: (run.gateways, run.seed))
--- a/stackrouter/capacity/slopes.py
+++ b/stackrouter/capacity/slopes.py
@@ -1,7 +1,7 @@
-"""The file of measured series, docs/capacity/slopes.json: its types, reading and writing.
+"""The file of measured series, docs/capacity/slopes.json: its types, and reading and writing it.
 
-A series is one quantity measured at several sizes of one dimension. Every raw value is kept; fits are made
-from the medians (`fit.py`) and are never stored.
+A series is one quantity measured at several sizes of one dimension. Every raw value is kept; fits are
+computed from the medians (`fit.py`) and never stored.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 from stackrouter.errors import CapacityFileError, OutputError
 
-LEAST_SIZES = 4  # a fit over fewer says nothing of its shape
+MIN_FIT_SIZES = 4  # a fit over fewer sizes does not show the shape
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """All values that were measured at one size."""
+    """All values measured at one size."""
 
     size: Annotated[float, Gt(0)]
     values: Annotated[tuple[float, ...], MinLen(1)]
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """One quantity in `unit` against the number of `against`; `fixed`: the same at all sizes."""
+    """One quantity in `unit` by the number of `against`; `fixed`: conditions that are equal at all sizes."""
 
     name: str
     role: str
     what: str
     unit: str
     against: str
-    points: Annotated[tuple[Point, ...], MinLen(LEAST_SIZES)]
+    points: Annotated[tuple[Point, ...], MinLen(MIN_FIT_SIZES)]
     fixed: Mapping[str, int | float | str]
 
     @property
@@ -57,13 +57,13 @@
         return max(self.points, key=lambda point: point.size)
 
     def at(self, size: float) -> float | None:
-        """The median at a size that was measured."""
+        """The median at a size; None if that size was not measured."""
         return next((point.median for point in self.points if point.size == size), None)
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """Where and on which program the series were measured."""
+    """The machine and the commit on which the series were measured."""
 
     cores: Annotated[int, Ge(1)]
     python: str
@@ -79,7 +79,7 @@
     machine: Machine
     series: tuple[Series, ...]
 
-    def named(self, name: str) -> Series | None:
+    def find_series(self, name: str) -> Series | None:
         return next((series for series in self.series if series.name == name), None)
 
 
@@ -87,7 +87,7 @@
 
 
 def read(path: Path) -> Slopes:
-    """The file's series; CapacityFileError names the file and the key that is wrong."""
+    """Read the series of a file; CapacityFileError names the file and the invalid key."""
     try:
         slopes = _ADAPTER.validate_json(path.read_bytes())
     except OSError as error:
@@ -99,18 +99,22 @@
     names = [series.name for series in slopes.series]
     for name in names:
         if names.count(name) > 1:
-            raise CapacityFileError("is there twice", file=path, key=name)
+            raise CapacityFileError("occurs more than once", file=path, key=name)
     return slopes
 
 
 def merged(path: Path, newer: Slopes) -> Slopes:
-    """The file's series, these in place of those of the same names; a file has one commit and machine."""
+    """The series of the file, with those of the same name replaced by `newer`.
+
+    CapacityFileError if commit or machine differ: one file has one of each."""
     older = read(path)
-    for what in ("commit", "cores", "python", "system"):
-        was, now = getattr(older.machine, what), getattr(newer.machine, what)
-        if was != now:
+    for field in ("commit", "cores", "python", "system"):
+        old_value, new_value = getattr(older.machine, field), getattr(newer.machine, field)
+        if old_value != new_value:
             raise CapacityFileError(
-                f"was {was} there and is {now} now: measure all", file=path, key=f"machine.{what}"
+                f"was {old_value} in the file, is {new_value} now: measure all series again",
+                file=path,
+                key=f"machine.{field}",
             )
     names = {series.name for series in newer.series}
     kept = tuple(series for series in older.series if series.name not in names)
@@ -118,7 +122,7 @@
 
 
 def write(path: Path, slopes: Slopes) -> None:
-    """Write the file whole; OutputError where that is not possible."""
+    """Write the file; OutputError if that fails."""
     data = _ADAPTER.dump_json(slopes, indent=1) + b"\n"
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
--- a/stackrouter/capacity/targets.py
+++ b/stackrouter/capacity/targets.py
@@ -1,4 +1,4 @@
-"""The size that is planned for, and the budgets that hold at it (issue 39). Constants alone."""
+"""The planned size and the budgets that apply at it (issue 39). Constants only."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 CLIENT_CONNECTIONS = 53_000_000
 REQUESTS_S = 11_000_000
 NODE_REPLACEMENTS_DAY = 32
-REPLACEMENT_S = 9.0  # within which each is over
+REPLACEMENT_S = 9.0  # limit for each replacement
 REGIONS = 5
 ZONES = 11
 POLICY_CHANGES_DAY = 4_200
-IN_FORCE_S = 7.0  # within which a policy change is in force everywhere
+IN_FORCE_S = 7.0  # limit until a policy change is in force everywhere
 MACHINE_FAILURES_DAY = 42
 RESTARTS_DAY = 3_200
 
 CPU_MS_S = 13.0  # control's part of a gateway: 1.3% of a core
 MEMORY_MB = 128.0
 BYTES_S = 16 * 1024.0
-REPLICAS = 8  # machines set aside for control
+REPLICAS = 8  # machines reserved for control
 VOTERS = 5
 
 DAY_S = 86_400.0
