--- a/stackrouter/fleet/scale/__init__.py
+++ b/stackrouter/fleet/scale/__init__.py
@@ -1,2 +1,2 @@
-"""The scale run: hollow gateways, real gateways and control replicas on one machine, with changes and
-faults."""
+"""The scale run: starts simulated ("hollow") gateways, real gateways and control replicas on one machine,
+applies configuration changes and faults, and measures the control plane."""
--- a/stackrouter/fleet/scale/changes.py
+++ b/stackrouter/fleet/scale/changes.py
@@ -1,4 +1,4 @@
-"""Hands changes in, and follows what the replicas hold as committed."""
+"""Submits policy and node list changes, and tracks which policy versions the replicas have committed."""
 
 from __future__ import annotations
 
@@ -14,80 +14,81 @@
 from stackrouter.coord.calls import canonical
 from stackrouter.fleet.scale import doors
 from stackrouter.fleet.scale.harness import Harness
-from stackrouter.fleet.scale.judge import DIGEST_LETTERS
-from stackrouter.fleet.scale.observation import COMMITTED_S, Observation
+from stackrouter.fleet.scale.judge import DIGEST_PREFIX_CHARS
+from stackrouter.fleet.scale.observation import COMMITTED_POLL_S, Observation
 
 RETRY_S = 0.1
-GIVE_UP_S = 10.0  # an election and more: a change that is not committed by then is none
+COMMIT_TIMEOUT_S = 10.0  # longer than an election; a change not committed by then is abandoned
 
 
 class Changes:
-    """Each change differs from all others, so its digest says which committed version came of it, also of a
-    change that was given up and took hold later."""
+    """Submits changes one at a time. The content of each policy change is unique, so its digest identifies
+    the committed version that resulted, even if the change was abandoned and committed later."""
 
     def __init__(self, harness: Harness, observation: Observation) -> None:
         self._harness, self._observation = harness, observation
-        self._one_at_a_time = Semaphore()
+        self._lock = Semaphore()
         self._voters: Iterator[str] = cycle(p.name for p in harness.layout.replicas if p.votes)
-        self._handed_in: dict[str, int] = {}  # by digest, as admin sockets tell it
-        self.newest = 0  # version that is known to be committed
-        self.refused: list[str] = []  # of each change that was given up: what was answered last
+        self._submitted_ns: dict[str, int] = {}  # submission time in ns, by digest prefix as on admin sockets
+        self.newest_version = 0  # known to be committed
+        self.failure_answers: list[str] = []  # the last answer to each abandoned change
 
     def change_policy(self) -> None:
-        """Propose a new version until it is known to be committed."""
-        with self._one_at_a_time:
+        """Propose a new version repeatedly until it is known to be committed or COMMIT_TIMEOUT_S has
+        passed."""
+        with self._lock:
             file = self._harness.new_policy()
             digest = _digest(file)
-            self._handed_in[digest] = time.monotonic_ns()
-            answer, until = "", time.monotonic() + GIVE_UP_S
-            while time.monotonic() < until:
+            self._submitted_ns[digest] = time.monotonic_ns()
+            answer, deadline = "", time.monotonic() + COMMIT_TIMEOUT_S
+            while time.monotonic() < deadline:
                 answer = self._propose(file)
-                if digest not in self._handed_in:
+                if digest not in self._submitted_ns:
                     return
                 gevent.sleep(RETRY_S)
-            self.refused.append(answer)
+            self.failure_answers.append(answer)
 
     def change_list(self, number: int) -> None:
-        """A storage node begins to drain, or is up again."""
+        """Toggle the status of a storage node between `draining` and `up`."""
         discovery = self._harness.discovery
         name = f"s-{number + 1}"
         status = "up" if discovery.entries[name]["status"] == "draining" else "draining"
         at = time.monotonic_ns()
         discovery.change(name, status=status)
-        self._observation.handed_in("list", discovery.index, "", at)
+        self._observation.record_change("list", discovery.index, "", at)
 
     def watch_committed(self) -> None:
-        """Ask the voters in turn, for ever."""
+        """Poll the voters in turn until killed."""
         while True:
-            self.ask()
-            gevent.sleep(COMMITTED_S)
+            self.poll_committed()
+            gevent.sleep(COMMITTED_POLL_S)
 
-    def ask(self) -> None:
-        """Ask one voter which versions it holds as committed."""
-        self._learn(doors.policy_versions(self._next_admin()) or [])
+    def poll_committed(self) -> None:
+        """Ask the next voter which versions are committed."""
+        self._record_versions(doors.policy_versions(self._next_admin_port()) or [])
 
     def _propose(self, file: Path) -> str:
-        """Propose it on top of the newest known version; what was answered if that is not known to have
-        worked."""
-        proposed = doors.propose(self._next_admin(), self.newest, str(file))
+        """Propose the file on top of the newest known version. Returns the replica's answer if the proposal
+        is not known to have succeeded, otherwise an empty string."""
+        proposed = doors.propose(self._next_admin_port(), self.newest_version, str(file))
         if proposed.number:
-            self._learn([doors.KnownVersion(proposed.number, proposed.digest)])
+            self._record_versions([doors.KnownVersion(proposed.number, proposed.digest)])
         else:
-            self.ask()
+            self.poll_committed()
         return proposed.why
 
-    def _next_admin(self) -> int:
+    def _next_admin_port(self) -> int:
         return self._harness.replica_ports[next(self._voters)].admin
 
-    def _learn(self, versions: list[doors.KnownVersion]) -> None:
-        self._observation.committed(versions)
+    def _record_versions(self, versions: list[doors.KnownVersion]) -> None:
+        self._observation.record_committed(versions)
         for version in versions:
-            self.newest = max(self.newest, version.number)
-            if (at := self._handed_in.pop(version.digest, None)) is not None:
-                self._observation.handed_in("policy", version.number, version.digest, at)
+            self.newest_version = max(self.newest_version, version.number)
+            if (at := self._submitted_ns.pop(version.digest, None)) is not None:
+                self._observation.record_change("policy", version.number, version.digest, at)
 
 
 def _digest(file: Path) -> str:
-    """Of the settings in a file, as admin sockets tell it."""
+    """The digest of the settings in a file, shortened as on admin sockets."""
     text = canonical(file.read_text(encoding="utf-8"))
-    return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_LETTERS]
+    return hashlib.sha256(text.encode()).hexdigest()[:DIGEST_PREFIX_CHARS]
--- a/stackrouter/fleet/scale/doors.py
+++ b/stackrouter/fleet/scale/doors.py
@@ -1,4 +1,5 @@
-"""Calls to admin sockets: one line there, one line back. A call that is not answered in time says nothing."""
+"""Client for admin sockets: one request line, one answer line. A call that times out or fails returns an
+empty answer instead of raising."""
 
 from __future__ import annotations
 
@@ -8,13 +9,14 @@
 
 from gevent import socket
 
-CALL_S = 1.5
+CALL_TIMEOUT_S = 1.5
 SUCCESS = "SUCCESS "
 
 
 @dataclass(frozen=True, slots=True)
 class KnownVersion:
-    """A committed version of the policy, as a replica tells of it. `digest`: its first letters."""
+    """A committed version of the policy, as reported by a replica. `digest` is a prefix of the full
+    digest."""
 
     number: int
     digest: str
@@ -22,8 +24,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposed:
-    """How a change ended: `number` is the committed version, 0 if it is not known to be committed; then
-    `why` is what was answered."""
+    """The result of proposing a change. `number` is the committed version, or 0 if the change is not known to
+    be committed; `why` then holds the answer."""
 
     number: int
     digest: str
@@ -32,8 +34,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaStatus:
-    """What a replica tells of itself; counts are since its start. `log_entries`: applied entries of the
-    group's log, 0 in a replica that does not vote."""
+    """The status that a replica reports. Counters start at zero with its process. `log_entries`: applied
+    entries of the replicated log, 0 in a non-voting replica."""
 
     leader: str
     term: int
@@ -48,8 +50,8 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayStatus:
-    """What a real gateway tells of its part in the control plane. `since_s`: how long it has served under
-    this version."""
+    """The control plane status that a real gateway reports. `since_s`: how long it has served under the
+    policy version `serving`."""
 
     serving: int
     since_s: float
@@ -58,13 +60,13 @@
 
 
 GATEWAY_FIELDS = fields(GatewayStatus)
-STATUS_FIELDS = fields(ReplicaStatus)
+REPLICA_FIELDS = fields(ReplicaStatus)
 
 
 def call(port: int, line: str) -> str:
-    """The answer's line; empty: none came."""
+    """Send one line and return the answer line, or an empty string if there was none."""
     try:
-        with socket.create_connection(("127.0.0.1", port), timeout=CALL_S) as sock:
+        with socket.create_connection(("127.0.0.1", port), timeout=CALL_TIMEOUT_S) as sock:
             sock.sendall(line.encode() + b"\n")
             return str(sock.makefile("r", encoding="utf-8").readline()).strip()
     except OSError:
@@ -72,24 +74,24 @@
 
 
 def call_json(port: int, line: str) -> dict[str, Any] | None:
-    """The object in the answer; None: there was no such answer."""
+    """The JSON object in a successful answer, or None if the call failed."""
     answer = call(port, line)
     if not answer.startswith(SUCCESS + "{"):
         return None
-    told: dict[str, Any] = json.loads(answer.removeprefix(SUCCESS))
-    return told
+    result: dict[str, Any] = json.loads(answer.removeprefix(SUCCESS))
+    return result
 
 
 def policy_versions(port: int) -> list[KnownVersion] | None:
-    """The committed versions that a replica holds, oldest first; None: it did not say."""
-    told = call_json(port, "policy status")
-    if told is None:
+    """The committed versions that a replica knows, oldest first, or None if it did not answer."""
+    status = call_json(port, "policy status")
+    if status is None:
         return None
-    return [KnownVersion(number, digest) for number, digest, _ in told["versions"]]
+    return [KnownVersion(number, digest) for number, digest, _ in status["versions"]]
 
 
 def propose(port: int, base: int, file: str) -> Proposed:
-    """Hand in a change of the policy on top of the version `base`."""
+    """Propose the policy in `file` as the successor of the version `base`."""
     answer = call(port, f"policy propose {base} {file}")
     if not answer.startswith(SUCCESS):
         return Proposed(0, "", answer or "no answer")
@@ -98,16 +100,20 @@
 
 
 def replica_status(port: int) -> ReplicaStatus | None:
-    """None: it did not say."""
-    told = call_json(port, "control status")
+    """The status of a replica, or None if it did not answer."""
+    status = call_json(port, "control status")
     return (
-        None if told is None else ReplicaStatus(**{field.name: told[field.name] for field in STATUS_FIELDS})
+        None
+        if status is None
+        else ReplicaStatus(**{field.name: status[field.name] for field in REPLICA_FIELDS})
     )
 
 
 def gateway_status(port: int) -> GatewayStatus | None:
-    """None: it did not say."""
-    told = call_json(port, "control status")
+    """The status of a real gateway, or None if it did not answer."""
+    status = call_json(port, "control status")
     return (
-        None if told is None else GatewayStatus(**{field.name: told[field.name] for field in GATEWAY_FIELDS})
+        None
+        if status is None
+        else GatewayStatus(**{field.name: status[field.name] for field in GATEWAY_FIELDS})
     )
--- a/stackrouter/fleet/scale/faults.py
+++ b/stackrouter/fleet/scale/faults.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a scale run, each from its beginning to its end."""
+"""Injects the faults of a scale run and reverts each one after its duration."""
 
 from __future__ import annotations
 
@@ -13,79 +13,81 @@
 from stackrouter.fleet.scale.observation import Observation
 from stackrouter.fleet.scale.plan import FaultStep
 from stackrouter.fleet.scale.processes import Child
-from stackrouter.fleet.scale.slow_reader import read_nothing
+from stackrouter.fleet.scale.slow_reader import hold_unread_connection
 
-BACK_S = 10.0  # a process that was started again has said something by then
+RESTART_TIMEOUT_S = 10.0  # for a restarted process to report its state
 POLL_S = 0.02
 
 
 class Faults:
-    """`leader`: the replica that leads, as far as it is known; `change_policy`: hands a change in and returns
-    once it is known how that ended."""
+    """`leader` returns the name of the current leader, or an empty string if unknown; `change_policy` submits
+    a change and returns once it is committed or abandoned."""
 
     def __init__(self, harness: Harness, observation: Observation, leader: Callable[[], str],
                  change_policy: Callable[[], None]) -> None:  # fmt: skip
         self._harness, self._observation = harness, observation
         self._leader, self._change_policy = leader, change_policy
-        self.done: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()
 
-    def carry_out(self, fault: FaultStep) -> None:
-        """Begin it, wait, end it."""
-        for_s = fault.for_us / 1e6
+    def inject(self, fault: FaultStep) -> None:
+        """Start the fault, wait for its duration, and revert it."""
+        duration_s = fault.duration_us / 1e6
         replica = self._replica(fault.target)
         match fault.kind:
             case "replica-kill":
-                self._kill(replica, for_s)
+                self._kill(replica, duration_s)
             case "replica-stop":
                 replica.send_signal(signal.SIGSTOP)
-                gevent.sleep(for_s)
+                gevent.sleep(duration_s)
                 replica.send_signal(signal.SIGCONT)
             case "leader-kill":
                 self._change_policy()
                 gevent.sleep(fault.delay_us / 1e6)
-                self._kill(self._harness.replicas.get(self._leader(), replica), for_s)
+                self._kill(self._harness.replicas.get(self._leader(), replica), duration_s)
             case "region-cut":
-                self._cut_off(fault.target, for_s)
+                self._partition_region(fault.target, duration_s)
             case "process-gone":
-                self._end_hollow(fault.target, for_s)
+                self._kill_hollow_process(fault.target, duration_s)
             case "slow-reader":
-                read_nothing(("127.0.0.1", self._harness.replica_ports[replica.name].observed), for_s)
+                hold_unread_connection(
+                    ("127.0.0.1", self._harness.replica_ports[replica.name].observed), duration_s
+                )
             case "empty-disk":
-                self._kill(replica, for_s, empty_disk=True)
-        self.done[fault.kind] += 1
+                self._kill(replica, duration_s, wipe_disk=True)
+        self.counts[fault.kind] += 1
 
     def _replica(self, target: int) -> Child:
         replicas = list(self._harness.replicas.values())
         return replicas[target % len(replicas)]
 
-    def _kill(self, replica: Child, for_s: float, empty_disk: bool = False) -> None:
+    def _kill(self, replica: Child, duration_s: float, wipe_disk: bool = False) -> None:
         self._harness.kill_replica(replica.name)
-        if empty_disk:
-            self._harness.empty_disk(replica.name)
-        gevent.sleep(for_s)
+        if wipe_disk:
+            self._harness.wipe_disk(replica.name)
+        gevent.sleep(duration_s)
         replica.start()
 
-    def _cut_off(self, target: int, for_s: float) -> None:
+    def _partition_region(self, target: int, duration_s: float) -> None:
         layout = self._harness.layout
         region = layout.regions[target % len(layout.regions)]
         gateways = layout.gateways_in(region)
         self._harness.network.cut(region, True)
-        self._observation.out_of_reach(gateways)
-        gevent.sleep(for_s)
+        self._observation.begin_outages(gateways)
+        gevent.sleep(duration_s)
         self._harness.network.cut(region, False)
-        self._observation.in_reach(gateways)
+        self._observation.end_outages(gateways)
 
-    def _end_hollow(self, target: int, for_s: float) -> None:
-        places = self._harness.layout.processes
-        place = places[target % len(places)]
-        process = self._harness.hollows[place.name]
+    def _kill_hollow_process(self, target: int, duration_s: float) -> None:
+        processes = self._harness.layout.processes
+        placement = processes[target % len(processes)]
+        process = self._harness.hollows[placement.name]
         process.kill()
-        process.join(BACK_S)
-        self._observation.states.pop(place.name, None)
-        self._observation.out_of_reach(list(place.gateways))
-        gevent.sleep(for_s)
+        process.join(RESTART_TIMEOUT_S)
+        self._observation.states.pop(placement.name, None)
+        self._observation.begin_outages(list(placement.gateways))
+        gevent.sleep(duration_s)
         process.start()
-        until = time.monotonic() + BACK_S
-        while place.name not in self._observation.states and time.monotonic() < until:
+        deadline = time.monotonic() + RESTART_TIMEOUT_S
+        while placement.name not in self._observation.states and time.monotonic() < deadline:
             gevent.sleep(POLL_S)
-        self._observation.in_reach(list(place.gateways))
+        self._observation.end_outages(list(placement.gateways))
--- a/stackrouter/fleet/scale/figures.py
+++ b/stackrouter/fleet/scale/figures.py
@@ -1,5 +1,5 @@
-"""The figures of a scale run: what its last line says. Measured between two moments, with the verdict
-beside."""
+"""The result of a scale run, printed as its last line: costs measured between two readings, and the
+verdict."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """Counters at one moment. `log_entries`: of the group's log; bytes both ways, `control_bytes` of all
-    replicas with their gateways, `real_bytes` of all real gateways with the replicas."""
+    """Counters at one moment. `log_entries` counts entries of the replicated log. Bytes are summed over both
+    directions: `control_bytes` between all replicas and their gateways, `real_bytes` between all real
+    gateways and the replicas."""
 
     at_s: float
     log_entries: int
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Meters:
-    """What processes cost between the two readings."""
+    """CPU and memory use of the processes between the two readings."""
 
     replicas: list[ProcessMeter]
     reals: list[ProcessMeter]
@@ -35,9 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleFigures:
-    """The JSON object of a run. Milliseconds, milliseconds of CPU a second, MiB, bytes a second. Of the
-    replicas: the mean of one, and the highest; of the real gateways: the mean, less what the baseline (a
-    gateway without a control plane, in the same run) takes, and `_whole` without that deduction."""
+    """The JSON object of a run. Units: milliseconds, milliseconds of CPU per second, MiB, bytes per second.
+    `control_*` is the mean per replica, `_max` the highest. `gateway_*` is the mean per real gateway minus
+    the cost of the baseline (a gateway without a control plane in the same run); `_whole` is the mean without
+    that deduction."""
 
     hollow: int
     real: int
@@ -84,7 +86,7 @@
 def figures(options: ScaleOptions, processes: int, restarts: int, verdict: ScaleVerdict,
             before: Reading, after: Reading, meters: Meters, faults: Counter[str],
             late_ms: Counter[int]) -> ScaleFigures:  # fmt: skip
-    """Put the run's last line together."""
+    """Compute the figures of a run from its readings, meters and verdict."""
     seconds = max(0.1, after.at_s - before.at_s)
     real_cpu = fmean(m.cpu_ms_s for m in meters.reals)
     real_rss = fmean(m.rss_mib for m in meters.reals)
@@ -136,5 +138,5 @@
 
 
 def rounded(value: float | None) -> float | None:
-    """To a tenth; None stays."""
+    """Round to one decimal place; None is returned as is."""
     return None if value is None else round(value, 1)
--- a/stackrouter/fleet/scale/files.py
+++ b/stackrouter/fleet/scale/files.py
@@ -1,4 +1,4 @@
-"""The files that the processes of a scale run are started with."""
+"""Configuration files for the processes of a scale run."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 USUAL_RATE = 50.0
 SHARDS = 4
-LIST_PLACES = 250  # addresses a loopback network of storage nodes is dealt out over
+THIRD_OCTETS = 250  # node addresses 127.x.0.1 to 127.x.249.1, then the next x
 MEMORY_MB, SOCKETS = 192, 1024
-NODE_PORT = 9  # nobody listens: no request is sent in a scale run
+NODE_PORT = 9  # nothing listens here: a scale run sends no requests
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaPorts:
-    """Where a replica listens: for gateways, for other voters, for its admin socket."""
+    """The ports on which a replica listens for gateways, for other voters and for admin calls."""
 
     observed: int
     peer: int
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reach:
-    """A replica as somebody else reaches it."""
+    """A replica and the address at which a particular process connects to it."""
 
     name: str
     address: str
@@ -38,13 +38,14 @@
 
 
 def drift_ms(options: ScaleOptions) -> int:
-    """How far two clocks may move apart while a heartbeat is valid."""
+    """The maximum drift between two clocks while a heartbeat is valid, in milliseconds."""
     return options.touch_ms * LEASE_DRIFT_MS // LEASE_MS
 
 
 def voter_file(options: ScaleOptions, place: ReplicaPlace, ports: ReplicaPorts,
                peers: Iterable[tuple[Reach, str]], folder: str, discovery: str) -> str:  # fmt: skip
-    """`peers`: all voters by their own addresses, each with where this one dials it (empty: there)."""
+    """The configuration of a voting replica. `peers`: all voters with their listening addresses, and the
+    address at which this one dials each (empty: the listening address)."""
     lines = [
         f'  peer {{ name: "{peer.name}" address: "{peer.address}"{_dial(dial)} }}' for peer, dial in peers
     ]
@@ -60,7 +61,7 @@
 
 def observing_replica_file(options: ScaleOptions, place: ReplicaPlace, ports: ReplicaPorts,
                            voters: Iterable[Reach]) -> str:  # fmt: skip
-    """A replica that does not vote."""
+    """The configuration of a non-voting replica, which observes the voters."""
     return f"""control {{ {_control(options, place.region)} name: "{place.name}"
   listen: "127.0.0.1:{ports.observed}" admin: "127.0.0.1:{ports.admin}"
 {_replicas(voters)} }}
@@ -68,13 +69,13 @@
 
 
 def gateway_file(options: ScaleOptions, place: RealPlace, replicas: Iterable[Reach]) -> str:
-    """A real gateway that observes the replicas."""
+    """The control plane configuration of a real gateway, which observes the replicas."""
     return f"control {{ enabled: true {_control(options, place.region)}\n{_replicas(replicas)} }}\n"
 
 
 def gateway_config(options: ScaleOptions, name: str, position: int, port: int, admin: int, discovery: str,
                    known: dict[str, Any]) -> str:  # fmt: skip
-    """GW_CONFIG of a real gateway."""
+    """The content of the GW_CONFIG file of a real gateway."""
     config = {
         "name": name, "listen": f"127.0.0.1:{port}", "discovery": discovery, "admin": f"127.0.0.1:{admin}",
         "seed": f"{options.seed * 64 + position:x}", "limits": {"memory_mb": MEMORY_MB, "sockets": SOCKETS},
@@ -84,24 +85,24 @@
 
 
 def fleet_settings(options: ScaleOptions, variant: int = 0) -> dict[str, Any]:
-    """The settings of the whole fleet; each variant of them differs from all others."""
+    """The settings of the whole fleet; each variant gives different settings."""
     scene = Scene(gateways=options.hollow + options.real, nodes=SHARDS, seed=options.seed)
-    told = settings(scene, USUAL_RATE)
+    values = settings(scene, USUAL_RATE)
     if variant:
-        told["Caps"]["MaxAttempts"] = 1 + variant % 5
-        told["Caps"]["MaxOpen"] = 4000 + variant
-    return told
+        values["Caps"]["MaxAttempts"] = 1 + variant % 5
+        values["Caps"]["MaxOpen"] = 4000 + variant
+    return values
 
 
 def policy_file(options: ScaleOptions, variant: int) -> str:
-    """A change of the configuration, as it is handed in."""
+    """The content of a policy file to propose."""
     return json.dumps({"settings": fleet_settings(options, variant)})
 
 
 def storage_nodes(count: int) -> list[Entry]:
-    """The list of storage nodes. None of them is there: a scale run sends no requests."""
+    """The list of storage nodes. None of them exists: a scale run sends no requests."""
     return [
-        entry(f"s-{i + 1}", f"127.{1 + i // LIST_PLACES}.{i % LIST_PLACES}.1:{NODE_PORT}", i % SHARDS,
+        entry(f"s-{i + 1}", f"127.{1 + i // THIRD_OCTETS}.{i % THIRD_OCTETS}.1:{NODE_PORT}", i % SHARDS,
               HALLS[i % len(HALLS)], "std")
         for i in range(count)
     ]  # fmt: skip
--- a/stackrouter/fleet/scale/harness.py
+++ b/stackrouter/fleet/scale/harness.py
@@ -1,5 +1,5 @@
-"""All that a scale run starts: discovery, links, control replicas, real gateways, processes of hollow
-gateways."""
+"""Starts and stops everything in a scale run: discovery, links, control replicas, real gateways and the
+processes of hollow gateways."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 from stackrouter.fleet.scale.layout import BASELINE, HollowPlace, Layout, RealPlace, ReplicaPlace
 from stackrouter.fleet.scale.network import Network
 from stackrouter.fleet.scale.options import ScaleOptions
-from stackrouter.fleet.scale.processes import Child, HollowChild, end_all, wait_until
+from stackrouter.fleet.scale.processes import Child, HollowChild, stop_all, wait_until
 from stackrouter.fleet.scale.reports import Report
 from stackrouter.standins.discovery import StandinDiscovery
 
 REPLICA_START_S = 15.0
-GATEWAY_START_S, GATEWAY_START_EACH_S = 30.0, 0.01  # for all, and for each of them
+GATEWAY_START_S, GATEWAY_START_EACH_S = 30.0, 0.01  # base, plus per hollow gateway
 
 
 class Harness:
-    """Use as a context: on the way out all that was started ends. `heard` is called with the name of a
-    process of hollow gateways and each of its reports."""
+    """A context manager: on exit, everything that was started is stopped. `on_report` is called with the name
+    of a process of hollow gateways and each of its reports."""
 
     def __init__(self, options: ScaleOptions, layout: Layout, folder: Path,
-                 heard: Callable[[str, Report], None]) -> None:  # fmt: skip
+                 on_report: Callable[[str, Report], None]) -> None:  # fmt: skip
         self.options, self.layout, self.folder = options, layout, folder
-        self._heard = heard
+        self._on_report = on_report
         self._ports = Ports()
         self.discovery = StandinDiscovery(storage_nodes(options.nodes))
         self.replica_ports = {
@@ -58,12 +58,12 @@
             cuttable=options.faults,
         )
         self.admin_ports: dict[str, int] = {}  # of the real gateways and the baseline
-        self.replicas = {place.name: self._replica(place) for place in layout.replicas}
-        self.reals = {real.name: self._real(real, i) for i, real in enumerate(layout.reals)}
-        self.baseline = self._gateway(BASELINE, len(layout.reals), {})
-        self.hollows = {place.name: self._hollow(place, i) for i, place in enumerate(layout.processes)}
-        self.ended: list[doors.ReplicaStatus] = []  # of replicas that were killed, as each was before
-        self._variants = 0
+        self.replicas = {place.name: self._make_replica(place) for place in layout.replicas}
+        self.reals = {real.name: self._make_real(real, i) for i, real in enumerate(layout.reals)}
+        self.baseline = self._make_gateway(BASELINE, len(layout.reals), {})
+        self.hollows = {place.name: self._make_hollow(place, i) for i, place in enumerate(layout.processes)}
+        self.killed_statuses: list[doors.ReplicaStatus] = []  # last status of each killed process
+        self._policy_count = 0
 
     def __enter__(self) -> Harness:
         return self
@@ -71,15 +71,15 @@
     def __exit__(self, *_: object) -> None:
         for child in self.children:
             child.measure(False)
-        end_all(self.gateways)
-        end_all(list(self.replicas.values()))
+        stop_all(self.gateways)
+        stop_all(list(self.replicas.values()))
         self.network.close()
         self.discovery.stop()
         self._ports.close()
 
     @property
     def gateways(self) -> list[Child]:
-        """All gateways' processes, the baseline among them."""
+        """The processes of all gateways, including the baseline."""
         return [*self.reals.values(), self.baseline, *self.hollows.values()]
 
     @property
@@ -87,83 +87,92 @@
         return [*self.replicas.values(), *self.gateways]
 
     def start_replicas(self, ready: Callable[[], bool]) -> None:
-        """StartError: they do not serve in time."""
+        """Start the replicas and wait until `ready`. Raises StartError if that takes too long."""
         for child in self.replicas.values():
             child.start()
-        what = f"the control replicas are not ready within {REPLICA_START_S:g} s"
+        what = f"the control replicas were not ready within {REPLICA_START_S:g} s"
         wait_until(ready, REPLICA_START_S, list(self.replicas.values()), lambda: what)
 
-    def start_gateways(self, ready: Callable[[], bool], how_far: Callable[[], str]) -> None:
-        """StartError: they are not all served in time."""
+    def start_gateways(self, ready: Callable[[], bool], ready_summary: Callable[[], str]) -> None:
+        """Start the gateways and wait until `ready`. Raises StartError, with `ready_summary` in its text, if
+        that takes too long."""
         for child in self.gateways:
             child.start()
         within_s = GATEWAY_START_S + GATEWAY_START_EACH_S * self.options.hollow
-        what = f"the gateways are not all served within {within_s:g} s"
-        wait_until(ready, within_s, self.children, lambda: f"{what}: {how_far()}")
+        what = f"not all gateways were ready within {within_s:g} s"
+        wait_until(ready, within_s, self.children, lambda: f"{what}: {ready_summary()}")
 
     def status(self, replica: str) -> doors.ReplicaStatus | None:
-        """What a replica tells of itself; None: it does not answer."""
+        """The status of a replica, or None if it does not answer."""
         return doors.replica_status(self.replica_ports[replica].admin)
 
     def kill_replica(self, replica: str) -> None:
-        """SIGKILL. Its counters begin anew with its next process: what they held is kept in `ended`."""
+        """Send SIGKILL. The counters restart at zero in the next process, so their last values are kept in
+        `killed_statuses`."""
         if (status := self.status(replica)) is not None:
-            self.ended.append(status)
+            self.killed_statuses.append(status)
         self.replicas[replica].kill()
 
-    def empty_disk(self, replica: str) -> None:
-        """A replica that does not run loses all that it kept."""
+    def wipe_disk(self, replica: str) -> None:
+        """Delete the stored data of a replica that is not running."""
         if self.replicas[replica].running:
-            raise StartError(f"{replica}: still runs, its disk cannot be emptied")
+            raise StartError(f"{replica}: cannot wipe the disk of a running replica")
         shutil.rmtree(self._replica_folder(replica), ignore_errors=True)
 
     def new_policy(self) -> Path:
-        """A file of settings that differs from all before."""
-        self._variants += 1
-        file = self.folder / f"policy-{self._variants}.json"
-        file.write_text(policy_file(self.options, self._variants), encoding="utf-8")
+        """Write a policy file whose settings differ from all previous ones."""
+        self._policy_count += 1
+        file = self.folder / f"policy-{self._policy_count}.json"
+        file.write_text(policy_file(self.options, self._policy_count), encoding="utf-8")
         return file
 
     def _replica_folder(self, replica: str) -> Path:
         return self.folder / f"{replica}.raft"
 
-    def _replica(self, place: ReplicaPlace) -> Child:
+    def _make_replica(self, place: ReplicaPlace) -> Child:
         file = self.folder / f"{place.name}.txtpb"
         ports = self.replica_ports[place.name]
         voters = [other for other in self.layout.replicas if other.votes]
         if place.votes:
-            own_addresses = [self._reach(v, f"127.0.0.1:{self.replica_ports[v.name].peer}") for v in voters]
+            own_addresses = [
+                self._reach_at(v, f"127.0.0.1:{self.replica_ports[v.name].peer}") for v in voters
+            ]
             peers = [
-                (reach, self._dialed(place, voter))
+                (reach, self._dial_address(place, voter))
                 for reach, voter in zip(own_addresses, voters, strict=True)
             ]
             folder = str(self._replica_folder(place.name))
             text = voter_file(self.options, place, ports, peers, folder, self.discovery.address)
         else:
-            others = [self._reach(v, self.network.replica_address(place.region, v)) for v in voters]
+            others = [self._reach_at(v, self.network.replica_address(place.region, v)) for v in voters]
             text = observing_replica_file(self.options, place, ports, others)
         file.write_text(text, encoding="utf-8")
         planted = self.options.planted == "dropped-delta" and place.name == self.layout.replicas[0].name
         module = "stackrouter.fleet.scale.planted" if planted else "stackrouter.controlplane.process"
-        environ = {"GW_CONFIG": str(self.folder / f"{BASELINE}.json")}  # changes are checked against it
+        # Proposed policies are validated against this configuration.
+        environ = {"GW_CONFIG": str(self.folder / f"{BASELINE}.json")}
         return Child(place.name, ["-m", module, str(file)], environ, self.folder)
 
-    def _dialed(self, near: ReplicaPlace, far: ReplicaPlace) -> str:
-        """Where a voter dials another one, if not at its address. The library connects from the higher
-        address, as text, to the lower."""
-        near_port, far_port = self.replica_ports[near.name].peer, self.replica_ports[far.name].peer
-        if f"127.0.0.1:{near_port}" <= f"127.0.0.1:{far_port}":
+    def _dial_address(self, dialer: ReplicaPlace, listener: ReplicaPlace) -> str:
+        """The address at which a voter dials another one if it differs from the listening address, otherwise
+        an empty string. The Raft library connects from the address that sorts higher, as text, to the
+        lower."""
+        dialer_port, listener_port = (
+            self.replica_ports[dialer.name].peer,
+            self.replica_ports[listener.name].peer,
+        )
+        if f"127.0.0.1:{dialer_port}" <= f"127.0.0.1:{listener_port}":
             return ""
-        address = self.network.peer_address(near, far)
-        return "" if address == f"127.0.0.1:{far_port}" else address
+        address = self.network.peer_address(dialer, listener)
+        return "" if address == f"127.0.0.1:{listener_port}" else address
 
-    def _real(self, real: RealPlace, position: int) -> Child:
-        replicas = [self._reach(p, self.network.real_address(real, p)) for p in self.layout.replicas]
+    def _make_real(self, real: RealPlace, position: int) -> Child:
+        replicas = [self._reach_at(p, self.network.real_address(real, p)) for p in self.layout.replicas]
         file = self.folder / f"{real.name}.txtpb"
         file.write_text(gateway_file(self.options, real, replicas), encoding="utf-8")
-        return self._gateway(real.name, position, {"GW_EDGE": str(file)})
+        return self._make_gateway(real.name, position, {"GW_EDGE": str(file)})
 
-    def _gateway(self, name: str, position: int, environ: dict[str, str]) -> Child:
+    def _make_gateway(self, name: str, position: int, environ: dict[str, str]) -> Child:
         listen, admin = self._ports.take(), self._ports.take()
         self.admin_ports[name] = admin
         file = self.folder / f"{name}.json"
@@ -172,9 +181,9 @@
         file.write_text(config, encoding="utf-8")
         return Child(name, ["-m", "stackrouter"], environ | {"GW_CONFIG": str(file)}, self.folder)
 
-    def _hollow(self, place: HollowPlace, number: int) -> HollowChild:
+    def _make_hollow(self, place: HollowPlace, number: int) -> HollowChild:
         replicas = [
-            self._reach(p, self.network.replica_address(place.region, p)) for p in self.layout.replicas
+            self._reach_at(p, self.network.replica_address(place.region, p)) for p in self.layout.replicas
         ]
         setup = HollowSetup(
             gateways=list(place.gateways),
@@ -188,12 +197,12 @@
         file = self.folder / f"{place.name}.json"
         file.write_text(json.dumps(asdict(setup)), encoding="utf-8")
 
-        def heard(report: Report) -> None:
-            self._heard(place.name, report)
+        def on_report(report: Report) -> None:
+            self._on_report(place.name, report)
 
         return HollowChild(
-            place.name, ["-m", "stackrouter.fleet.scale.hollow", str(file)], self.folder, heard
+            place.name, ["-m", "stackrouter.fleet.scale.hollow", str(file)], self.folder, on_report
         )
 
-    def _reach(self, place: ReplicaPlace, address: str) -> Reach:
+    def _reach_at(self, place: ReplicaPlace, address: str) -> Reach:
         return Reach(place.name, address, place.region)
--- a/stackrouter/fleet/scale/hollow.py
+++ b/stackrouter/fleet/scale/hollow.py
@@ -1,9 +1,9 @@
 """A process of hollow gateways: `python -m stackrouter.fleet.scale.hollow SETUP`.
 
-A hollow gateway is a gateway as the control plane sees it: an identity, a clock and a connection of its
-own, round the same `ObserverClient` that a real gateway has. Only what it would do with what it is told is
-left out: its sink keeps nothing. The process reads orders from its standard input and reports on its
-standard output, both as lines of reports.py, and ends when its input ends.
+A hollow gateway looks like a real gateway to the control plane: it has its own identity, clock and connection
+and uses the same `ObserverClient`. It serves no requests, and its sink discards the policies and nodes that
+it receives. The process reads orders from standard input and writes reports to standard output, both as the
+lines that reports.py defines, and exits at the end of its input.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 from stackrouter.coord.policy import PolicyStateMachine, Rules, Version
 from stackrouter.fleet.scale.files import Reach
 from stackrouter.fleet.scale.judge import FinalState, Served, Taken
-from stackrouter.fleet.scale.measure import LATE_STEP_S, Lateness
-from stackrouter.fleet.scale.options import DRIFT_PART
+from stackrouter.fleet.scale.measure import LATENESS_STEP_S, Lateness
+from stackrouter.fleet.scale.options import CLOCK_DRIFT_RATIO
 from stackrouter.fleet.scale.plan import clock_rate
 from stackrouter.fleet.scale.reports import (
     EndHollow,
@@ -40,17 +40,17 @@
     to_line,
 )
 
-SAMPLE_S = 0.05  # between two looks at what each gateway serves under
-FLUSH_S = 0.1  # between two writes of reports
-STATE_S = 0.25
-START_PAUSE_S, START_AT_ONCE = 0.01, 5  # gateways of one process start one after the other
-CLOCK_OFFSET_US = 3_600_000_000  # clocks start at random within an hour
+SAMPLE_S = 0.05  # interval at which the served version of each gateway is sampled
+FLUSH_S = 0.1  # interval at which buffered reports are written
+STATE_S = 0.25  # interval of HollowState reports
+START_BATCH_PAUSE_S, START_BATCH_GATEWAYS = 0.01, 5  # a pause after each batch spreads out the connections
+CLOCK_OFFSET_US = 3_600_000_000  # clock offsets are drawn from one hour
 
 
 @dataclass(frozen=True, slots=True)
 class HollowSetup:
-    """What a process is told at its start. Times in milliseconds. `early`: gateways that serve under a
-    version as soon as it is committed, which is a planted fault."""
+    """The configuration of one process. Times in milliseconds. `early`: gateways with a planted fault, which
+    serve under a version as soon as it is committed."""
 
     gateways: list[str]
     region: str
@@ -71,7 +71,7 @@
 
 
 class EarlyPolicy(PolicyStateMachine):
-    """Planted: takes each version at once, as if its commit were its activation."""
+    """A planted fault: activates each version on commit instead of waiting for its activation."""
 
     def version_committed(self, version: Version, now: int) -> None:
         super().version_committed(version, now)
@@ -79,9 +79,9 @@
 
 
 def gateway_clock(rng: Random) -> Callable[[], int]:
-    """A clock of a gateway's own, in microseconds: it started at any time and runs at a rate within the
+    """A clock for one gateway, in microseconds, with a random offset and a random rate within the allowed
     drift."""
-    rate, offset = clock_rate(rng, DRIFT_PART), rng.randrange(CLOCK_OFFSET_US)
+    rate, offset = clock_rate(rng, CLOCK_DRIFT_RATIO), rng.randrange(CLOCK_OFFSET_US)
 
     def clock() -> int:
         return boottime_us(rate) + offset
@@ -91,7 +91,7 @@
 
 @dataclass(slots=True)
 class _Interval:
-    """What a gateway serves under, from the first time that it was seen to until the last."""
+    """The version that a gateway serves under, and the first and last time it was observed to."""
 
     version: int
     digest: str
@@ -100,7 +100,7 @@
 
 
 class HollowGateway:
-    """One hollow gateway, over all its lives. It is the sink of its own client."""
+    """One hollow gateway, across restarts. It is the sink of its own client."""
 
     def __init__(self, name: str, setup: HollowSetup, report: Callable[[Report], None]) -> None:
         self.name = name
@@ -115,16 +115,16 @@
         self.client.start()
 
     def restart(self) -> None:
-        """End without a word, and start anew with nothing."""
-        self._end_life()
+        """Disconnect without notice and start again with no state."""
+        self._stop_client()
         self.nodes_index = -1
         self.client = self._new_client()
         self.client.start()
 
     def stop(self) -> FinalState:
-        """End; what it had."""
+        """Stop the gateway and return its final state."""
         serving = self.client.policy.serving
-        self._end_life()
+        self._stop_client()
         return FinalState(self.name, serving.number, serving.digest, self.nodes_index)
 
     @property
@@ -136,7 +136,7 @@
         return self.client.policy.serving.number
 
     def sample(self) -> None:
-        """Note whether it takes requests now, and under what."""
+        """Record whether the gateway serves requests now, and under which version."""
         policy = self.client.policy
         if not policy.serves(self._clock()):
             self._close_interval()
@@ -147,17 +147,17 @@
         self._interval.until = now
 
     def take_policy(self, body: str) -> None:
-        """A real gateway serves under it from now on. Nothing is kept here."""
+        """Discard the policy; a real gateway would apply it."""
 
     def take_nodes(self, piece: TakeNodes) -> None:
-        """A real gateway takes these nodes. Nothing is kept here but the version of the list."""
+        """Record the index of the list and discard its nodes; a real gateway would apply them."""
         if piece.last and piece.index != self.nodes_index:
             self.nodes_index = piece.index
             self._report(Taken(self.name, "list", piece.index, "", time.monotonic_ns()))
 
     def _new_client(self) -> ObserverClient:
         setup = self._setup
-        # As a real gateway makes it: another life under the same name must not pass for this one.
+        # As in a real gateway: distinguishes this incarnation from others under the same name.
         life = f"{self.name}#{os.getpid():x}.{time.time_ns() & 0xFFFFFFFF:x}"
         client = ObserverClient(
             GatewayIdentity(self.name, life, setup.region),
@@ -184,7 +184,7 @@
             self._report(Served(self.name, interval.version, interval.digest, interval.since, interval.until))
         self._interval = None
 
-    def _end_life(self) -> None:
+    def _stop_client(self) -> None:
         self.client.stop()
         self._close_interval()
 
@@ -199,9 +199,15 @@
     _gateways: dict[str, HollowGateway] = field(default_factory=dict)
 
     def run(self) -> None:
-        """Until the input ends or an order says so."""
-        for step in (self._start, self._sample, self._flush_often, self._tell_state, self._watch_lateness):
-            gevent.spawn(step)
+        """Run until the input ends or an EndHollow order arrives."""
+        for task in (
+            self._start,
+            self._sample,
+            self._flush_periodically,
+            self._report_state_periodically,
+            self._watch_lateness,
+        ):
+            gevent.spawn(task)
         for line in FileObjectPosix(sys.stdin.fileno(), "rb", closefd=False):
             match from_line(line.decode(errors="replace")):
                 case RestartGateway(gateway) if gateway in self._gateways:
@@ -217,8 +223,8 @@
         for number, name in enumerate(self.setup.gateways):
             self._gateways[name] = HollowGateway(name, self.setup, self._report)
             self._gateways[name].start()
-            if number % START_AT_ONCE == 0:
-                gevent.sleep(START_PAUSE_S)
+            if number % START_BATCH_GATEWAYS == 0:
+                gevent.sleep(START_BATCH_PAUSE_S)
 
     def _sample(self) -> None:
         while True:
@@ -226,7 +232,7 @@
                 gateway.sample()
             gevent.sleep(SAMPLE_S)
 
-    def _flush_often(self) -> None:
+    def _flush_periodically(self) -> None:
         while True:
             self._flush()
             gevent.sleep(FLUSH_S)
@@ -237,7 +243,7 @@
             sys.stdout.write("\n".join(lines) + "\n")
             sys.stdout.flush()
 
-    def _tell_state(self) -> None:
+    def _report_state_periodically(self) -> None:
         while True:
             gateways = list(self._gateways.values())
             if len(gateways) == len(self.setup.gateways):
@@ -249,8 +255,8 @@
 
     def _watch_lateness(self) -> None:
         while True:
-            due = time.monotonic() + LATE_STEP_S
-            gevent.sleep(LATE_STEP_S)
+            due = time.monotonic() + LATENESS_STEP_S
+            gevent.sleep(LATENESS_STEP_S)
             self._lateness.note(time.monotonic() - due)
 
     def _end(self) -> None:
@@ -263,7 +269,7 @@
 
 
 def main() -> None:
-    """The only argument names the file of a HollowSetup."""
+    """Run the process that the HollowSetup file named by the only argument describes."""
     HollowProcess(HollowSetup.read(Path(sys.argv[1]))).run()
 
 
--- a/stackrouter/fleet/scale/layout.py
+++ b/stackrouter/fleet/scale/layout.py
@@ -1,4 +1,4 @@
-"""Who takes part in a scale run, and in which region. No I/O."""
+"""Assigns the replicas and gateways of a scale run to regions and processes. No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from stackrouter.fleet.scale.options import ScaleOptions, hollow_processes
 
-BASELINE = "baseline"  # the gateway without a control plane that the real ones are compared with
+BASELINE = "baseline"  # a gateway without a control plane, the reference for the cost of real ones
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,27 +41,32 @@
     @property
     def gateways(self) -> list[str]:
         """Names of all gateways that observe the control plane."""
-        return [*(real.name for real in self.reals), *(g for place in self.processes for g in place.gateways)]
+        return [
+            *(real.name for real in self.reals),
+            *(name for place in self.processes for name in place.gateways),
+        ]
 
     def gateways_in(self, region: str) -> list[str]:
-        """Names of those in one region."""
+        """Names of the gateways in one region that observe the control plane."""
         reals = [real.name for real in self.reals if real.region == region]
-        return reals + [g for place in self.processes if place.region == region for g in place.gateways]
+        return reals + [name for place in self.processes if place.region == region for name in place.gateways]
 
 
 def lay_out(options: ScaleOptions) -> Layout:
-    """Replicas, real gateways and hollow gateways, each dealt out to the regions in turn. The replicas that
-    vote come first, so that they are spread over as many regions as there are."""
+    """Assign replicas, real gateways and hollow processes to regions round-robin. Voting replicas come first,
+    so that they are spread over as many regions as possible."""
     regions = tuple(f"region-{i + 1}" for i in range(options.regions))
 
     def region(number: int) -> str:
         return regions[number % len(regions)]
 
-    count = hollow_processes(options)
+    process_count = hollow_processes(options)
     names = [f"h{i + 1}" for i in range(options.hollow)]
     return Layout(
         regions,
         tuple(ReplicaPlace(f"c{i + 1}", region(i), i < options.voters) for i in range(options.control)),
         tuple(RealPlace(f"g{i + 1}", region(i)) for i in range(options.real)),
-        tuple(HollowPlace(f"p{i + 1}", region(i), tuple(names[i::count])) for i in range(count)),
+        tuple(
+            HollowPlace(f"p{i + 1}", region(i), tuple(names[i::process_count])) for i in range(process_count)
+        ),
     )
--- a/stackrouter/fleet/scale/measure.py
+++ b/stackrouter/fleet/scale/measure.py
@@ -1,4 +1,4 @@
-"""What processes cost, from /proc, and how late this machine wakes them."""
+"""Measures the CPU and memory use of processes from /proc, and the scheduling delay of timers."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 TICKS_S = os.sysconf("SC_CLK_TCK")
 PAGE_MIB = os.sysconf("SC_PAGE_SIZE") / (1 << 20)
-USER_TICKS, SYSTEM_TICKS = 11, 12  # places in /proc/PID/stat behind the command's name
-LATE_STEP_S = 0.02  # between two looks at the lateness
+USER_TICKS, SYSTEM_TICKS = 11, 12  # indexes of fields in /proc/PID/stat after the command name
+LATENESS_STEP_S = 0.02  # interval between lateness measurements
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessUse:
-    """CPU milliseconds since the process began, and its resident memory."""
+    """CPU milliseconds since the start of the process, and its resident memory."""
 
     cpu_ms: float
     rss_mib: float
 
 
 def process_use(pid: int) -> ProcessUse | None:
-    """None: there is no such process any more."""
+    """Read the resource use of a process, or None if it no longer exists."""
     try:
         stat = (
             Path(f"/proc/{pid}/stat").read_text(encoding="utf-8", errors="replace").rpartition(")")[2].split()
@@ -36,41 +36,41 @@
 
 
 class ProcessMeter:
-    """Adds up what a role costs over all the processes that bear it one after the other (it may be killed and
-    started again) from `begin` to `end`."""
+    """Sums the resource use of a role between `begin` and `end`, over all its successive processes (a process
+    may be killed and replaced)."""
 
     def __init__(self) -> None:
         self.cpu_ms = 0.0
-        self.lived_s = 0.0
-        self.rss_mib = 0.0  # at the last look
+        self.measured_s = 0.0
+        self.rss_mib = 0.0  # at the last `end`
         self._pid = 0
-        self._begun: tuple[float, float] | None = None  # CPU milliseconds, time
+        self._started: tuple[float, float] | None = None  # CPU milliseconds, time
 
     def begin(self, pid: int) -> None:
-        """Count from now on. A process that was just started counts from its first look."""
+        """Start measuring the process `pid`; what it used before is not counted."""
         use = process_use(pid)
         self._pid = pid
-        self._begun = (use.cpu_ms, time.monotonic()) if use is not None else None
+        self._started = (use.cpu_ms, time.monotonic()) if use is not None else None
 
     def end(self) -> None:
-        """To be called before the process is ended."""
-        if self._begun is None:
+        """Stop measuring. Must be called while the process still exists."""
+        if self._started is None:
             return
         use = process_use(self._pid)
         if use is not None:
-            cpu_ms, at = self._begun
+            cpu_ms, at = self._started
             self.cpu_ms += use.cpu_ms - cpu_ms
-            self.lived_s += time.monotonic() - at
+            self.measured_s += time.monotonic() - at
             self.rss_mib = use.rss_mib
-        self._begun = None
+        self._started = None
 
     @property
     def cpu_ms_s(self) -> float:
-        return self.cpu_ms / max(0.1, self.lived_s)
+        return self.cpu_ms / max(0.1, self.measured_s)
 
 
 class Lateness:
-    """How much later than asked for a process is woken, counted by whole milliseconds."""
+    """A histogram, in whole milliseconds, of how late a process is woken."""
 
     def __init__(self) -> None:
         self.by_ms: Counter[int] = Counter()
@@ -80,10 +80,10 @@
 
 
 def lateness_p99(by_ms: Counter[int]) -> int | None:
-    """The milliseconds that 99% of all wakes do not exceed; None of none."""
-    left = 0.99 * sum(by_ms.values())
+    """The 99th percentile in milliseconds, or None without samples."""
+    remaining = 0.99 * sum(by_ms.values())
     for ms in sorted(by_ms):
-        left -= by_ms[ms]
-        if left <= 0:
+        remaining -= by_ms[ms]
+        if remaining <= 0:
             return ms
     return None
--- a/stackrouter/fleet/scale/observation.py
+++ b/stackrouter/fleet/scale/observation.py
@@ -1,5 +1,5 @@
-"""Gathers the history of a scale run: what hollow gateways report, what real ones log and say, what the
-replicas hold as committed.
+"""Collects the history of a scale run from the reports of hollow gateways, the admin sockets of real gateways
+and the versions that replicas report as committed.
 """
 
 from __future__ import annotations
@@ -12,26 +12,27 @@
 
 from stackrouter.fleet.scale import doors
 from stackrouter.fleet.scale.judge import Change, ChangeKind, FinalState, History, Outage, Served, Taken
-from stackrouter.fleet.scale.measure import LATE_STEP_S, Lateness
+from stackrouter.fleet.scale.measure import LATENESS_STEP_S, Lateness
 from stackrouter.fleet.scale.reports import HollowEnd, HollowState, Report
 
-SAMPLE_S = 0.5  # between two looks at a real gateway
-COMMITTED_S = 0.5  # between two questions to a replica for the committed versions
+SAMPLE_S = 0.5  # interval at which each real gateway is polled
+COMMITTED_POLL_S = 0.5  # interval at which a replica is asked for the committed versions
 
 
 class RealGateway:
-    """Follows one real gateway by its admin socket. It does not tell the digest of what it serves under."""
+    """Polls the admin socket of one real gateway, which does not report the digest of the version it
+    serves."""
 
     def __init__(self, name: str, admin: int, history: History) -> None:
         self.name = name
         self.version, self.nodes_index, self.ready = 0, -1, False
         self._admin, self._history = admin, history
-        self._since = self._until = 0  # it was seen to take requests under this version
+        self._since = self._until = 0  # first and last time it was observed to serve under `version`
 
-    def look(self) -> None:
-        """One look. What is answered was so at some time between the question and the answer: what was seen
-        first counts from the answer, what was seen last until the question. On a busy machine seconds lie
-        between the two."""
+    def poll(self) -> None:
+        """Poll once. The answer was true at some time between the request and its arrival, which may be
+        seconds apart on a busy machine. Therefore an interval starts when the first answer arrives and ends
+        when the last request is sent."""
         asked_at = time.monotonic_ns()
         status = doors.gateway_status(self._admin)
         answered_at = time.monotonic_ns()
@@ -42,10 +43,10 @@
         if status.serving != self.version:
             self._close_interval()
             self.version = status.serving
-            self._took("policy", status.serving, answered_at - round(status.since_s * 1e9))
+            self._record_taken("policy", status.serving, answered_at - round(status.since_s * 1e9))
         if status.nodes_index != self.nodes_index:
             self.nodes_index = status.nodes_index
-            self._took("list", status.nodes_index, answered_at)
+            self._record_taken("list", status.nodes_index, answered_at)
         if not status.heartbeat_valid:
             self._close_interval()
         elif not self._since:
@@ -53,12 +54,12 @@
         self._until = max(self._since, asked_at)
         self.ready = status.heartbeat_valid
 
-    def end(self) -> FinalState:
-        """What it has at the end of the run."""
+    def finish(self) -> FinalState:
+        """Close the open interval and return the final state of the gateway."""
         self._close_interval()
         return FinalState(self.name, self.version, "", self.nodes_index)
 
-    def _took(self, kind: ChangeKind, number: int, at: int) -> None:
+    def _record_taken(self, kind: ChangeKind, number: int, at: int) -> None:
         self._history.taken.append(Taken(self.name, kind, number, "", at))
 
     def _close_interval(self) -> None:
@@ -69,17 +70,17 @@
 
 @dataclass(slots=True)
 class Observation:
-    """All that is known of a run so far."""
+    """The history of a run so far, and the current state of its gateways."""
 
     history: History = field(default_factory=History)
-    states: dict[str, HollowState] = field(default_factory=dict)  # by process, the last one
+    states: dict[str, HollowState] = field(default_factory=dict)  # the latest by process name
     reals: list[RealGateway] = field(default_factory=list)
     late_ms: Counter[int] = field(default_factory=Counter)
     lateness: Lateness = field(default_factory=Lateness)
-    _out: dict[str, int] = field(default_factory=dict)  # by gateway that cannot be reached: since when
+    _outage_since: dict[str, int] = field(default_factory=dict)  # by unreachable gateway: start of the outage
 
-    def heard(self, process: str, report: Report) -> None:
-        """A report of a process of hollow gateways."""
+    def on_report(self, process: str, report: Report) -> None:
+        """Record a report of a process of hollow gateways."""
         match report:
             case Taken():
                 self.history.taken.append(report)
@@ -92,59 +93,64 @@
             case HollowEnd():
                 self.late_ms.update({int(ms): count for ms, count in report.late_ms.items()})
 
-    def handed_in(self, kind: ChangeKind, number: int, digest: str, at: int) -> None:
-        """A change was handed in at `at`, and is known to be committed (a policy) or told (a list)."""
+    def record_change(self, kind: ChangeKind, number: int, digest: str, at: int) -> None:
+        """Record a change submitted at `at` that is known to be committed (policy) or published (list)."""
         self.history.changes.append(Change(kind, number, digest, at))
 
-    def committed(self, versions: list[doors.KnownVersion]) -> None:
-        """A replica told which versions it holds as committed."""
+    def record_committed(self, versions: list[doors.KnownVersion]) -> None:
+        """Record the versions that a replica reports as committed."""
         for version in versions:
             self.history.committed.setdefault(version.number, version.digest)
 
-    def out_of_reach(self, gateways: list[str]) -> None:
-        """These can be reached by nobody from now on."""
+    def begin_outages(self, gateways: list[str]) -> None:
+        """Mark these gateways as unreachable from now on."""
         now = time.monotonic_ns()
         for gateway in gateways:
-            self._out.setdefault(gateway, now)
+            self._outage_since.setdefault(gateway, now)
 
-    def in_reach(self, gateways: list[str]) -> None:
-        """These can be reached again."""
+    def end_outages(self, gateways: list[str]) -> None:
+        """Mark these gateways as reachable again and record their outages."""
         now = time.monotonic_ns()
         for gateway in gateways:
-            if (since := self._out.pop(gateway, None)) is not None:
+            if (since := self._outage_since.pop(gateway, None)) is not None:
                 self.history.outages.append(Outage(gateway, since, now))
 
-    def all_have(self, gateways: int, version: int, nodes_index: int) -> bool:
-        """Whether all gateways (so many hollow ones) are ready under this version with this list."""
+    def all_up_to_date(self, gateways: int, version: int, nodes_index: int) -> bool:
+        """Whether all gateways (`gateways` is the number of hollow ones) are ready with this version and
+        list."""
         states = list(self.states.values())
-        hollow = sum(state.ready for state in states) == gateways == sum(state.gateways for state in states)
-        least = all(state.version >= version and state.nodes_index >= nodes_index for state in states)
-        reals = all(
+        hollow_ready = (
+            sum(state.ready for state in states) == gateways == sum(state.gateways for state in states)
+        )
+        hollow_current = all(
+            state.version >= version and state.nodes_index >= nodes_index for state in states
+        )
+        reals_ready = all(
             real.ready and real.version >= version and real.nodes_index >= nodes_index for real in self.reals
         )
-        return hollow and least and reals
+        return hollow_ready and hollow_current and reals_ready
 
-    def how_far(self) -> str:
-        """How many gateways are ready, for errors."""
+    def ready_summary(self) -> str:
+        """The number of ready gateways, for error messages."""
         hollow = sum(state.ready for state in self.states.values())
-        return f"{hollow} hollow and {sum(real.ready for real in self.reals)} real ones are"
+        return f"{hollow} hollow and {sum(real.ready for real in self.reals)} real gateways are ready"
 
     def watch_reals(self) -> None:
-        """Look at the real gateways for ever."""
+        """Poll the real gateways until killed."""
         while True:
             for real in self.reals:
-                real.look()
+                real.poll()
             gevent.sleep(SAMPLE_S)
 
     def watch_lateness(self) -> None:
-        """Note how late this process's own loop is woken, for ever."""
+        """Measure how late the event loop of this process is woken, until killed."""
         while True:
-            due = time.monotonic() + LATE_STEP_S
-            gevent.sleep(LATE_STEP_S)
+            due = time.monotonic() + LATENESS_STEP_S
+            gevent.sleep(LATENESS_STEP_S)
             self.lateness.note(time.monotonic() - due)
 
     def finish(self) -> None:
-        """The run is over: what the real gateways have, and whose outage has not ended."""
-        self.history.final += [real.end() for real in self.reals]
-        self.in_reach(list(self._out))
+        """Record the final states of the real gateways and close the open outages at the end of the run."""
+        self.history.final += [real.finish() for real in self.reals]
+        self.end_outages(list(self._outage_since))
         self.late_ms.update(self.lateness.by_ms)
--- a/stackrouter/fleet/scale/planted.py
+++ b/stackrouter/fleet/scale/planted.py
@@ -1,8 +1,8 @@
 """A control replica with a planted fault, for tests of the scale run: `python -m
 stackrouter.fleet.scale.planted FILE`.
 
-It drops one delta: the activation of one version is passed on as an activation of the version before, so
-that its gateways are in order by their numbers, and do not serve under the version.
+It suppresses one delta: it replaces the activation of one version by an activation of the previous version.
+The sequence numbers that its gateways receive stay contiguous, but they never serve under that version.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class DroppingReplica(ReplicaStateMachine):
-    """Drops the activation of DROPPED_VERSION."""
+    """Replaces the activation of DROPPED_VERSION by one of the previous version."""
 
     def committed(self, number: int, delta: Delta, now: int) -> list[ReplicaAction]:
         if delta.activated == DROPPED_VERSION:
@@ -26,7 +26,7 @@
 
 
 def main() -> int:
-    """The only argument names the operator's file of the replica."""
+    """Run a replica with the configuration file named by the only argument."""
     vars(process)["ReplicaStateMachine"] = DroppingReplica
     return process.main(sys.argv[1])
 
--- a/stackrouter/fleet/scale/prediction.py
+++ b/stackrouter/fleet/scale/prediction.py
@@ -1,8 +1,8 @@
 """Predicts a larger scale run from smaller ones. No I/O.
 
-Each quantity is fitted against the number of hollow gateways by least squares, as a power (a straight line
-of the logarithms). Where most of a quantity does not depend on the gateways, a power is the wrong shape and
-predicts too little: a straight line of the values themselves is told beside it.
+Each quantity is fitted against the number of hollow gateways by least squares, as a power law (linear in the
+logarithms). Where most of a quantity does not depend on the gateways, a power law is the wrong model and
+predicts too little, so a linear fit of the values is reported as well.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from statistics import linear_regression
 
 QUANTITIES = ("control_cpu_ms_s", "control_bytes_s", "in_force_ms_p99", "log_entries_s", "control_rss_mib")
-LARGEST_FITTED = 3000  # hollow gateways
-FEWEST = 3  # runs in a fit
+LARGEST_FITTED = 3000  # hollow gateways in the largest run used for fits
+MIN_RUNS = 3  # per fit
 
 
 @dataclass(frozen=True, slots=True)
 class Prediction:
-    """Of one quantity at `hollow` gateways, from runs at `sizes`: by a power of the gateways with
-    `exponent`, and by a straight line with `intercept` and `slope` a gateway."""
+    """The prediction of one quantity at `hollow` gateways from runs at `sizes`: by a power law with
+    `exponent`, and by a line with `intercept` and `slope` per gateway."""
 
     quantity: str
     hollow: int
@@ -34,8 +34,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Compared:
-    """A prediction and what was measured. Errors are parts of what was measured; below 0: too little was
-    predicted."""
+    """A prediction and the measured value. Errors are relative to the measured value; below 0 if the
+    prediction was too low."""
 
     prediction: Prediction
     measured: float
@@ -44,9 +44,10 @@
 
 
 def predict(quantity: str, hollow: int, measured: Mapping[int, float]) -> Prediction | None:
-    """`measured`: by number of hollow gateways, all above 0. None: there are too few runs."""
+    """Predict a quantity at `hollow` gateways. `measured`: values by number of hollow gateways, all positive.
+    Returns None if fewer than MIN_RUNS sizes can be used."""
     sizes = tuple(sorted(size for size in measured if size <= LARGEST_FITTED))
-    if len(sizes) < FEWEST:
+    if len(sizes) < MIN_RUNS:
         return None
     values = [measured[size] for size in sizes]
     power = linear_regression([log(size) for size in sizes], [log(value) for value in values])
@@ -64,13 +65,14 @@
 
 
 def predict_all(hollow: int, runs: Sequence[Mapping[str, float]]) -> list[Prediction]:
-    """`runs`: figures of runs without faults, by name; of several of one size the last counts."""
+    """Predict all QUANTITIES. `runs`: figures by name of runs without faults; the last run of each size is
+    used."""
     found = (predict(name, hollow, {int(run["hollow"]): run[name] for run in runs}) for name in QUANTITIES)
     return [prediction for prediction in found if prediction is not None]
 
 
 def compare(prediction: Prediction, measured: float) -> Compared:
-    """How far off it was."""
+    """Compute the errors of a prediction."""
     return Compared(
         prediction,
         measured,
--- a/stackrouter/fleet/scale/processes.py
+++ b/stackrouter/fleet/scale/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a scale run: started, stopped, killed and started again, each by its own process id."""
+"""Child processes of a scale run: starts, stops, kills and restarts them."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from stackrouter.fleet.scale.measure import ProcessMeter
 from stackrouter.fleet.scale.reports import EndHollow, Order, Report, from_line, to_line
 
-STOP_S = 4.0
+STOP_TIMEOUT_S = 4.0
 POLL_S = 0.02
-QUOTED = 300  # characters of a process's last line
+MAX_QUOTED_CHARS = 300  # of the last log line of a process
 
 
 class Child:
-    """One role in the run, borne by one process after the other. Its standard error, and its output where
-    nobody reads it, go to a log file."""
+    """One role in the run, filled by successive processes. Standard error, and standard output unless it is
+    read, go to a log file."""
 
     def __init__(self, name: str, command: Sequence[str], environ: dict[str, str], folder: Path) -> None:
         self.name = name
         self.log = folder / f"{name}.log"
         self.meter = ProcessMeter()
         self._command = [sys.executable, *command]
-        # Variables of the gateway that runs this command must not reach the gateways that are started here.
+        # The gateways started here must not inherit gateway settings from the environment of this command.
         self._environ = {k: v for k, v in os.environ.items() if not k.startswith("GW_")} | environ
         self._process: subprocess.Popen[bytes] | None = None
         self._measured = False
@@ -51,7 +51,7 @@
             self.meter.begin(self.pid)
 
     def measure(self, on: bool) -> None:
-        """Count what the role costs from now on, or up to now."""
+        """Start or stop measuring the resource use of the role."""
         self._measured = on
         if on:
             self.meter.begin(self.pid)
@@ -63,41 +63,41 @@
             self._process.send_signal(number)
 
     def kill(self) -> None:
-        """SIGKILL, and wait for its end."""
+        """Send SIGKILL and wait for the process to exit."""
         if self._process is None:
             return
         self.meter.end()
         self._process.kill()
         self._process.wait()
 
-    def ask_to_end(self) -> None:
-        """SIGTERM, also where it is stopped."""
+    def request_stop(self) -> None:
+        """Send SIGTERM; SIGCONT first, so that a stopped process receives it."""
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGTERM)
 
     def last_line(self) -> str:
-        """Of its log, for errors."""
+        """The last line of the log, for error messages."""
         lines = self.log.read_text(errors="replace").strip().splitlines() if self.log.exists() else []
-        return lines[-1][-QUOTED:] if lines else "ended"
+        return lines[-1][-MAX_QUOTED_CHARS:] if lines else "exited"
 
     def _spawn(self, log: int) -> subprocess.Popen[bytes]:
-        # A session of its own: Ctrl-C in the terminal is for the harness, which then ends all in order.
+        # A separate session: Ctrl-C in the terminal reaches only the harness, which then stops the children.
         return subprocess.Popen(self._command, env=self._environ, stdin=subprocess.DEVNULL,
                                 stdout=log, stderr=log, start_new_session=True)  # fmt: skip
 
 
 class HollowChild(Child):
-    """A process of hollow gateways. `heard` is called with each report of it, in order."""
+    """A process of hollow gateways. `on_report` is called with each of its reports, in order."""
 
     def __init__(
-        self, name: str, command: Sequence[str], folder: Path, heard: Callable[[Report], None]
+        self, name: str, command: Sequence[str], folder: Path, on_report: Callable[[Report], None]
     ) -> None:
         super().__init__(name, command, {}, folder)
-        self._heard = heard
+        self._on_report = on_report
         self._reader: gevent.Greenlet[..., None] | None = None
 
-    def order(self, order: Order) -> None:
-        """Hand an order in; a process that is gone takes none."""
+    def send_order(self, order: Order) -> None:
+        """Send an order; ignored if the process has exited."""
         process = self._process
         if process is None or process.stdin is None:
             return
@@ -107,12 +107,12 @@
         except OSError:
             return
 
-    def ask_to_end(self) -> None:
+    def request_stop(self) -> None:
         self.send_signal(signal.SIGCONT)
-        self.order(EndHollow())
+        self.send_order(EndHollow())
 
     def join(self, within_s: float) -> None:
-        """Wait until all that it wrote before its end was read."""
+        """Wait until all output that the process wrote before its exit has been read."""
         if self._reader is not None:
             self._reader.join(timeout=within_s)
 
@@ -127,15 +127,15 @@
         for line in FileObjectPosix(process.stdout.fileno(), "rb", closefd=False):
             report = from_line(line.decode(errors="replace"))
             if report is not None and not isinstance(report, Order):
-                self._heard(report)
+                self._on_report(report)
 
 
-def end_all(children: Sequence[Child], within_s: float = STOP_S) -> None:
-    """Ask all to end, and kill those that do not."""
+def stop_all(children: Sequence[Child], within_s: float = STOP_TIMEOUT_S) -> None:
+    """Ask all processes to stop, and kill those still running after `within_s`."""
     for child in children:
-        child.ask_to_end()
-    until = time.monotonic() + within_s
-    while any(child.running for child in children) and time.monotonic() < until:
+        child.request_stop()
+    deadline = time.monotonic() + within_s
+    while any(child.running for child in children) and time.monotonic() < deadline:
         gevent.sleep(POLL_S)
     for child in children:
         if child.running:
@@ -144,12 +144,12 @@
 
 def wait_until(condition: Callable[[], bool], within_s: float, children: Sequence[Child],
                what: Callable[[], str]) -> None:  # fmt: skip
-    """StartError: a child has ended, or it did not come so in time; `what` says how far it came."""
-    until = time.monotonic() + within_s
+    """Wait for a condition. Raises StartError if a child exits or time runs out, with the text of `what`."""
+    deadline = time.monotonic() + within_s
     while not condition():
         for child in children:
             if not child.running:
                 raise StartError(f"{child.name}: {child.last_line()}")
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             raise StartError(what())
         gevent.sleep(POLL_S)
--- a/stackrouter/fleet/scale/reports.py
+++ b/stackrouter/fleet/scale/reports.py
@@ -1,8 +1,7 @@
-"""What a process of hollow gateways and the harness tell each other: one JSON object a line, each of one
-type.
+"""Messages between the harness and the processes of hollow gateways, one JSON object per line.
 
-A line's `type` names the dataclass, its other keys are the fields. All times are nanoseconds of the
-monotonic clock.
+The key `type` names the dataclass of a message; the other keys are its fields. All times are nanoseconds of
+the monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,8 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HollowState:
-    """How the gateways of a process are at the moment. `ready`: with a valid heartbeat, under the newest
-    active version that they know; `version` and `nodes_index`: what all of them have at least."""
+    """The current state of the gateways of a process. `ready` counts gateways with a valid heartbeat that
+    serve under the newest active version they know. `version` and `nodes_index` are the lowest of all
+    gateways."""
 
     gateways: int
     ready: int
@@ -27,46 +27,47 @@
 
 @dataclass(frozen=True, slots=True)
 class HollowEnd:
-    """The last line of a process. `late_ms`: how often its loop was woken so many milliseconds late."""
+    """The last report of a process. `late_ms`: number of wakes of its loop by lateness in milliseconds."""
 
     late_ms: dict[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class RestartGateway:
-    """To a process: this gateway ends without a word, and starts anew with nothing."""
+    """Order to a process: disconnect this gateway without notice and restart it with no state."""
 
     gateway: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndHollow:
-    """To a process: tell the final states, then end."""
+    """Order to a process: report the final states, then exit."""
 
 
 Report = Taken | Served | FinalState | HollowState | HollowEnd
 Order = RestartGateway | EndHollow
-TYPES: dict[str, type[Any]] = {
+MESSAGE_TYPES: dict[str, type[Any]] = {
     cls.__name__: cls
     for cls in (Taken, Served, FinalState, HollowState, HollowEnd, RestartGateway, EndHollow)
 }
 
-FIELDS = {cls: {field.name for field in fields(cls)} for cls in TYPES.values()}
+FIELD_NAMES = {cls: {field.name for field in fields(cls)} for cls in MESSAGE_TYPES.values()}
 
 
 def to_line(message: Report | Order) -> str:
-    """Without the end of line."""
+    """Serialize a message, without a trailing newline."""
     return json.dumps({"type": type(message).__name__, **asdict(message)}, separators=(",", ":"))
 
 
 def from_line(line: str) -> Report | Order | None:
-    """None: not a line of ours (a library's own output, a line that a kill cut off)."""
+    """Parse a message. Returns None for other lines, such as output of a library or a line truncated by a
+    kill."""
     try:
         raw = json.loads(line)
     except ValueError:
         return None
-    cls = TYPES.get(raw.pop("type", "")) if isinstance(raw, dict) else None
-    if cls is None or raw.keys() != FIELDS[cls]:
+    cls = MESSAGE_TYPES.get(raw.pop("type", "")) if isinstance(raw, dict) else None
+    if cls is None or raw.keys() != FIELD_NAMES[cls]:
         return None
     message: Report | Order = cls(**raw)
     return message
--- a/stackrouter/fleet/scale/slow_reader.py
+++ b/stackrouter/fleet/scale/slow_reader.py
@@ -1,4 +1,4 @@
-"""A connection to a replica that says Hello and heartbeats as a gateway does, and never reads an answer."""
+"""A connection to a replica that sends Hello and heartbeats like a gateway, but never reads the answers."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from stackrouter.controlplane.frames_pb2 import Frame, Heartbeat, Hello
 from stackrouter.controlplane.replica import PROTOCOL
 
-RECEIVE_BYTES = 4096  # of its receive buffer: it fills soon
-BEAT_S = 0.02  # far more often than a gateway: each answer is something that it does not read
-NAME, LIFE = "slow-reader", "1"
+RECEIVE_BYTES = 4096  # small receive buffer, so that it fills quickly
+HEARTBEAT_INTERVAL_S = 0.02  # much shorter than a gateway's, so that unread answers pile up quickly
+GATEWAY, INCARNATION = "slow-reader", "1"
 
 
-def read_nothing(address: tuple[str, int], for_s: float) -> None:
-    """Hold such a connection for so long, or until the replica ends it."""
-    until = time.monotonic() + for_s
+def hold_unread_connection(address: tuple[str, int], duration_s: float) -> None:
+    """Hold such a connection for this long, or until the replica closes it."""
+    deadline = time.monotonic() + duration_s
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock, contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BYTES)
-        sock.settimeout(for_s)
+        sock.settimeout(duration_s)
         sock.connect(address)
-        sock.sendall(encode(Frame(hello=Hello(protocol=PROTOCOL, gateway=NAME, life=LIFE))))
+        sock.sendall(encode(Frame(hello=Hello(protocol=PROTOCOL, gateway=GATEWAY, life=INCARNATION))))
         sequence = 0
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             sequence += 1
             sock.sendall(encode(Frame(heartbeat=Heartbeat(sequence=sequence))))
-            gevent.sleep(BEAT_S)
+            gevent.sleep(HEARTBEAT_INTERVAL_S)
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,5 +1,5 @@
-"""The scale run with processes: a small one that holds, two with a planted fault, and a hollow gateway
-beside a real one."""
+"""The scale run with real processes: a small valid run, two runs with a planted fault, and a comparison of a
+hollow gateway with a real one."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from stackrouter.fleet.scale.files import Reach
 from stackrouter.fleet.scale.hollow import HollowGateway, HollowSetup
 from stackrouter.fleet.scale.options import ScaleOptions
-from stackrouter.fleet.scale.plan import PolicyChange, draw
+from stackrouter.fleet.scale.plan import PolicyChange, draw_plan
 from stackrouter.net.discovery import Discovery
 
 WAIT_S = 10.0
@@ -46,7 +46,7 @@
 
 
 class Run:
-    """`fleet scale` in a process of its own."""
+    """The command `fleet scale` in a child process."""
 
     def __init__(self, *options: str) -> None:
         common = ["--hollow", "20", "--real", "1", "--control", "3", "--regions", "3", "--nodes", "200",
@@ -57,76 +57,79 @@
         )
 
     def close(self) -> None:
-        """End it in order, so that it ends what it started."""
+        """Terminate the command gracefully, so that it stops its own children."""
         if self._process.poll() is None:
             self._process.terminate()
         self._process.communicate(timeout=RUN_S)
 
-    def ended(self) -> tuple[int, dict[str, Any]]:
-        """Exit code and figures."""
-        told, said = self._process.communicate(timeout=RUN_S)
-        if not told.strip():
-            raise AssertionError(said)
-        figures: dict[str, Any] = json.loads(told.splitlines()[-1])
+    def result(self) -> tuple[int, dict[str, Any]]:
+        """Wait for the exit; return the exit code and the figures."""
+        stdout, stderr = self._process.communicate(timeout=RUN_S)
+        if not stdout.strip():
+            raise AssertionError(stderr)
+        figures: dict[str, Any] = json.loads(stdout.splitlines()[-1])
         return self._process.returncode, figures
 
 
-def seed_with_two_versions() -> int:
-    """Of a run of one second: the version whose activation the planted replica drops is then the last."""
+def seed_with_two_policy_changes() -> int:
+    """The seed of a run of one second with two policy changes: the version whose activation the planted
+    replica drops is then the last one."""
     options = ScaleOptions(hollow=20, real=1, seconds=1.0)
-    seeds = (seed for seed in range(100) if len(draw(_seeded(options, seed)).of(PolicyChange)) == 2)
+    seeds = (seed for seed in range(100) if len(draw_plan(_with_seed(options, seed)).of(PolicyChange)) == 2)
     return next(seeds)
 
 
-def _seeded(options: ScaleOptions, seed: int) -> ScaleOptions:
+def _with_seed(options: ScaleOptions, seed: int) -> ScaleOptions:
     return ScaleOptions(hollow=options.hollow, real=options.real, seconds=options.seconds, seed=seed)
 
 
 class ScaleRuns(unittest.TestCase):
-    """The three runs go on side by side; each test looks at one."""
+    """The three runs execute concurrently; each test checks one of them."""
 
     runs: dict[str, Run]
 
     @classmethod
     def setUpClass(cls) -> None:
-        seed = str(seed_with_two_versions())
+        seed = str(seed_with_two_policy_changes())
         cls.runs = {
-            "sound": Run("--seconds", "4"),
+            "valid": Run("--seconds", "4"),
             "dropped": Run("--seconds", "1", "--seed", seed, "--planted", "dropped-delta"),
             "early": Run("--seconds", "1", "--seed", seed, "--planted", "early-version"),
         }
         for run in cls.runs.values():
             cls.addClassCleanup(run.close)
 
-    def test_a_small_run_holds_and_tells_all_its_figures(self) -> None:
-        code, told = self.runs["sound"].ended()
-        self.assertEqual((code, told["broken"], told["ok"]), (0, [], True), told)
-        self.assertEqual((told["hollow"], told["real"], told["control"]), (20, 1, 3))
-        self.assertEqual((told["left_behind"], told["uncommitted_served"], told["faults"]), (0, 0, 0))
-        self.assertGreaterEqual(told["changes"], 3)
-        self.assertGreaterEqual(told["in_force_ms_p50"], AFTER_MS * 0.9)
-        self.assertLess(told["in_force_ms_p99"], 7000)
+    def test_a_small_run_is_ok_and_reports_all_figures(self) -> None:
+        code, figures = self.runs["valid"].result()
+        self.assertEqual((code, figures["broken"], figures["ok"]), (0, [], True), figures)
+        self.assertEqual((figures["hollow"], figures["real"], figures["control"]), (20, 1, 3))
+        self.assertEqual(
+            (figures["left_behind"], figures["uncommitted_served"], figures["faults"]), (0, 0, 0)
+        )
+        self.assertGreaterEqual(figures["changes"], 3)
+        self.assertGreaterEqual(figures["in_force_ms_p50"], AFTER_MS * 0.9)
+        self.assertLess(figures["in_force_ms_p99"], 7000)
         for name in ("gateway_rss_mib_whole", "gateway_bytes_s", "control_cpu_ms_s", "control_rss_mib",
                      "control_bytes_s", "log_entries_s", "late_ms_p99"):  # fmt: skip
-            self.assertGreaterEqual(told[name], 0, name)
-        self.assertGreater(told["control_bytes_s"], 0)
-        self.assertGreater(told["log_entries_s"], 0)
+            self.assertGreaterEqual(figures[name], 0, name)
+        self.assertGreater(figures["control_bytes_s"], 0)
+        self.assertGreater(figures["log_entries_s"], 0)
 
-    def test_a_replica_that_drops_a_delta_is_caught(self) -> None:
-        code, told = self.runs["dropped"].ended()
-        self.assertEqual(code, 1, told)
-        self.assertIn("left_behind", told["broken"])
-        self.assertGreater(told["left_behind"], 0)
-        self.assertLess(told["left_behind"], 21, "only the gateways of that replica")
+    def test_a_replica_that_drops_a_delta_is_detected(self) -> None:
+        code, figures = self.runs["dropped"].result()
+        self.assertEqual(code, 1, figures)
+        self.assertIn("left_behind", figures["broken"])
+        self.assertGreater(figures["left_behind"], 0)
+        self.assertLess(figures["left_behind"], 21, "must affect the gateways of one replica only")
 
-    def test_a_gateway_that_serves_a_version_before_its_activation_is_caught(self) -> None:
-        code, told = self.runs["early"].ended()
-        self.assertEqual(code, 1, told)
-        self.assertIn("uncommitted_served", told["broken"])
+    def test_a_gateway_that_serves_a_version_before_its_activation_is_detected(self) -> None:
+        code, figures = self.runs["early"].result()
+        self.assertEqual(code, 1, figures)
+        self.assertIn("uncommitted_served", figures["broken"])
 
 
 class RecordingReplica(ReplicaStateMachine):
-    """Notes each frame that comes, by gateway."""
+    """Records each received frame by gateway."""
 
     def __init__(self) -> None:
         super().__init__("c1", ReplicaLimits(barrier_interval_us=10_000))
@@ -144,7 +147,7 @@
 
 
 class FollowedDiscovery:
-    """Takes the place of a real gateway's discovery."""
+    """A substitute for the discovery of a real gateway."""
 
     def __init__(self) -> None:
         self.fleet: object = None
@@ -155,7 +158,8 @@
 
 
 class HollowBesideReal(unittest.TestCase):
-    """Nothing about a hollow gateway is cheaper for the control side."""
+    """Guards against a hollow gateway that costs a replica less than a real one, which would make the figures
+    of scale runs too low: both must exchange the same frames."""
 
     def setUp(self) -> None:
         self.machine = RecordingReplica()
@@ -189,27 +193,27 @@
         self.position = LogPosition(self.position.history, delta.number)
         self.server.call(self.machine.committed, delta.number, delta)
 
-    def _beats(self, count: int) -> None:
-        """Wait until both have sent so many more heartbeats."""
+    def _wait_for_heartbeats(self, count: int) -> None:
+        """Wait until both gateways have sent `count` more heartbeats."""
         names = ("gw-hollow", "gw-actual")
         due = {name: len(self.machine.heartbeats(name)) + count for name in names}
-        wait_for(lambda: all(len(self.machine.heartbeats(n)) >= due[n] for n in names), "no heartbeats")
+        wait_for(lambda: all(len(self.machine.heartbeats(n)) >= due[n] for n in names), "heartbeats missing")
 
-    def test_both_send_and_receive_the_same(self) -> None:
+    def test_hollow_and_real_gateways_exchange_the_same_frames(self) -> None:
         wait_for(lambda: self.machine.report(boottime_us()).ready, "the replica is not ready")
-        self.real.told(None, {"index": 2})  # a gateway asks discovery first, and follows from there on
+        self.real.told(None, {"index": 2})  # a gateway asks discovery first, then follows the replica
         self.hollow.start()
         self.real.start()
-        wait_for(lambda: self.hollow.nodes_index == 3 == self.discovery.index, "no list")
-        self._beats(3)
+        wait_for(lambda: self.hollow.nodes_index == 3 == self.discovery.index, "list not received")
+        self._wait_for_heartbeats(3)
         change = NodeChanges(index=4, nodes=[Node(name="s-7", address="127.0.0.1:8", status="draining")])
         self._commit(Delta(number=6, nodes=change))
         proposed = PolicyVersion(number=2, digest="e" * 64, body="settings " * 90, proposed_by="c1")
         self._commit(Delta(number=7, committed=proposed))
         self._commit(Delta(number=8, activated=2))
-        wait_for(lambda: self.hollow.version == 2 == self.real.policy.serving.number, "not in force")
-        wait_for(lambda: self.hollow.nodes_index == 4 == self.discovery.index, "no change of the list")
-        self._beats(3)
+        wait_for(lambda: self.hollow.version == 2 == self.real.policy.serving.number, "policy not in force")
+        wait_for(lambda: self.hollow.nodes_index == 4 == self.discovery.index, "list change not received")
+        self._wait_for_heartbeats(3)
         self._compare_sent()
         self._compare_received()
 
@@ -218,19 +222,19 @@
         kinds = [[frame.WhichOneof("body") for frame in frames] for frames in (hollow, real)]
         shorter = min(map(len, kinds))
         self.assertEqual(kinds[0][:shorter], kinds[1][:shorter])
-        self.assertEqual(kinds[0].count("hello"), 1, "neither connects twice")
+        self.assertEqual(kinds[0].count("hello"), 1, "a gateway connected more than once")
         for frames in (hollow, real):
-            frames[0].hello.life = frames[0].hello.life.partition(".")[0]  # the rest is a moment
+            frames[0].hello.life = frames[0].hello.life.partition(".")[0]  # the rest is the start time
         self.assertEqual(len(encode(hollow[0])), len(encode(real[0])))
         sizes = [{len(encode(frame)) for frame in frames[1:]} for frames in (hollow, real)]
         self.assertEqual(*sizes)
-        said = [{frame.heartbeat.serving for frame in frames[1:]} for frames in (hollow, real)]
-        self.assertEqual(*said)
+        serving = [{frame.heartbeat.serving for frame in frames[1:]} for frames in (hollow, real)]
+        self.assertEqual(*serving)
         rules = [self.hollow.client.policy.rules, self.real.policy.rules]
-        self.assertEqual(rules[0], rules[1], "they send heartbeats equally often")
+        self.assertEqual(rules[0], rules[1], "heartbeat intervals differ")
 
     def _compare_received(self) -> None:
-        """All that came is the same but for answers: who sent more heartbeats got more of them."""
+        """Both received the same, except for one answer for each heartbeat that one of them sent more."""
         hollow, real = self.hollow.client.figures(), self.real.client.figures()
         answers = hollow.frames_in - real.frames_in
         self.assertLessEqual(abs(answers), 3)
