--- a/stackrouter/fleet/scale/hollow.py
+++ b/stackrouter/fleet/scale/hollow.py
@@ -62,6 +62,7 @@
 
     @classmethod
     def read(cls, file: Path) -> HollowSetup:
+        """Load the setup from a JSON file."""
         raw = json.loads(file.read_text(encoding="utf-8"))
         return cls(**raw | {"replicas": [Reach(**reach) for reach in raw["replicas"]]})
 
--- a/stackrouter/fleet/scale/limits.py
+++ b/stackrouter/fleet/scale/limits.py
@@ -47,7 +47,7 @@
     """Estimate the peak resources of a run."""
     hollow = hollow_processes(options)
     gateways = options.hollow + options.real
-    # One replica may serve all gateways, if only one is left in a region or a region loses all of its own.
+    # One replica may serve all gateways if only one is left in a region or a region loses all of its own.
     replica_connections = gateways
     process_connections = -(-options.hollow // hollow)
     proxied_connections = 2 * (gateways if options.faults else options.real) + 4 * hollow
--- a/stackrouter/trace/read.py
+++ b/stackrouter/trace/read.py
@@ -1,4 +1,4 @@
-"""Reads traces and merges those of several gateways into one stream in order of time."""
+"""Reads traces and merges those of several gateways into one stream ordered by time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """One run of one gateway: its blocks, which may lie in several files. `left_out`: facts not kept."""
+    """One run of one gateway. Its blocks may be in several files. `left_out`: number of facts dropped."""
 
     header: Header
     blocks: list[tuple[Path, Place]] = field(default_factory=list)
@@ -25,27 +25,28 @@
     left_out: int = 0
 
     def read(self) -> Iterator[facts.Fact]:
-        """In order of time, by the gateway's own clock."""
+        """Yield the facts in time order, with times of the gateway's own clock."""
         for path in dict.fromkeys(path for path, _ in self.blocks):
             with _mapped(path) as view:
-                for place in [place for of, place in self.blocks if of == path]:
+                for place in [place for file, place in self.blocks if file == path]:
                     yield from decode(block_at(view, place))
 
 
 @dataclass(slots=True)
 class Traces:
-    """What was found in some files. `damage`: stretches of them that could not be read."""
+    """The contents of trace files. `damage`: the ranges that could not be read."""
 
     runs: list[Run] = field(default_factory=list)
     damage: list[tuple[Path, Damage]] = field(default_factory=list)
 
     @property
     def count(self) -> int:
-        """Facts in all."""
+        """The total number of facts."""
         return sum(run.count for run in self.runs)
 
     @property
     def left_out(self) -> int:
+        """The total number of dropped facts."""
         return sum(run.left_out for run in self.runs)
 
 
@@ -60,7 +61,7 @@
 
 
 def open_traces(paths: Sequence[Path]) -> Traces:
-    """Look through all files once. TraceReadError: one cannot be read, or nothing in it is whole."""
+    """Scan all files once. Raises TraceReadError if a file cannot be read or contains no intact block."""
     found, runs = Traces(), dict[Header, Run]()
     for path in paths:
         before = len(found.damage), sum(len(run.blocks) for run in runs.values())
@@ -71,10 +72,10 @@
         except OSError as error:
             raise TraceReadError(error.strerror, file=path) from None
         if before[1] == sum(len(run.blocks) for run in runs.values()):
-            raise TraceReadError("not a trace: no whole block in it", file=path)
+            raise TraceReadError("not a trace: it contains no intact block", file=path)
     found.runs = list(runs.values())
     for run in found.runs:
-        # Older files are named after newer ones (.1, .2): the facts before each block tell the order.
+        # Rotated files (.1, .2) are older than the current one; the fact counts of the blocks give the order.
         run.blocks.sort(key=lambda block: block[1].first)
     return found
 
@@ -93,17 +94,17 @@
 
 
 def shift_us(header: Header) -> int:
-    """Add this to a fact's time to have it by the clock of the day."""
+    """The offset from the times of facts to the wall clock, in microseconds."""
     return header.unix_us - header.clock_us
 
 
 def merge(runs: Sequence[Run]) -> Iterator[tuple[int, facts.Fact]]:
-    """Every fact with its run's place, in order of time by the clocks of the day."""
+    """Yield each fact with the index of its run, ordered by wall clock time."""
 
-    def stream(place: int, run: Run) -> Iterator[tuple[int, int, int, facts.Fact]]:
+    def stream(index: int, run: Run) -> Iterator[tuple[int, int, int, facts.Fact]]:
         shift = shift_us(run.header)
         for i, fact in enumerate(run.read()):
-            yield fact.at + shift, place, i, fact
+            yield fact.at + shift, index, i, fact
 
-    for at, place, _, fact in heapq.merge(*(stream(i, run) for i, run in enumerate(runs))):
-        yield place, fact._replace(at=at)
+    for at, index, _, fact in heapq.merge(*(stream(i, run) for i, run in enumerate(runs))):
+        yield index, fact._replace(at=at)
--- a/stackrouter/trace/record.py
+++ b/stackrouter/trace/record.py
@@ -1,4 +1,5 @@
-"""Records facts: bounded in memory, never in the engine's way; what can't be kept is dropped and counted."""
+"""Records facts to files with bounded memory and without blocking the engine; facts that do not fit or cannot
+be written are dropped and counted."""
 
 from __future__ import annotations
 
@@ -21,18 +22,18 @@
 
 
 class Sink:
-    """Writes blocks to a file; a full one is closed with its index and set aside as `.1`, `.2`, ..."""
+    """Writes blocks to a file. A full file is closed with its index and rotated to `.1`, `.2`, ..."""
 
-    def __init__(self, path: Path, header: Header, most_bytes: int, keep: int) -> None:
-        self.path, self.header, self.most_bytes, self.keep = path, header, most_bytes, keep
+    def __init__(self, path: Path, header: Header, max_bytes: int, keep: int) -> None:
+        self.path, self.header, self.max_bytes, self.keep = path, header, max_bytes, keep
         self._file: BinaryIO | None = None
         self._places: list[Place] = []
         self._size = self._facts = 0
 
     def write(self, batch: list[facts.Fact], left_out: int) -> None:
-        """OSError: nothing of the batch may be counted as kept."""
+        """Write a batch as one block. On OSError the whole batch counts as dropped."""
         data = pack(encode(self.header, self._facts, left_out, batch), self._facts)
-        if self._file is not None and self._size + len(data) > self.most_bytes:
+        if self._file is not None and self._size + len(data) > self.max_bytes:
             self.close()
             self._rotate()
         if self._file is None:
@@ -44,13 +45,14 @@
         self._facts += len(batch)
 
     def close(self) -> None:
+        """Write the index and close the file."""
         if self._file is not None:
             file, self._file = self._file, None
             with file:
                 file.write(pack_index(self._places))
 
     def _rotate(self) -> None:
-        """The oldest goes; the file in hand becomes `.1`."""
+        """Rename the current file to `.1` and shift the older ones, dropping the oldest."""
         for i in range(self.keep - 1, 0, -1):
             older = Path(f"{self.path}.{i}")
             if older.exists():
@@ -60,49 +62,49 @@
 
 
 class Recorder:
-    """A subscriber. `flush` does the work and may block: call it from a thread."""
+    """A subscriber that buffers facts. `flush` writes them and may block: call it from a thread."""
 
-    def __init__(self, sink: Sink, most_facts: int = 16 * BLOCK_FACTS) -> None:
-        self.sink, self.most_facts = sink, most_facts
+    def __init__(self, sink: Sink, max_facts: int = 16 * BLOCK_FACTS) -> None:
+        self.sink, self.max_facts = sink, max_facts
         self.left_out = 0
-        self.on_block: Callable[[], None] = lambda: None  # a block's worth is there
-        self._waiting: deque[facts.Fact] = deque()
+        self.on_block: Callable[[], None] = lambda: None  # called when a block is full
+        self._pending: deque[facts.Fact] = deque()
         self._failed = self._closed = False
-        # Guards against an end that comes while a thread still writes: two at once would mix their blocks.
-        self._writing = threading.Lock()
+        # Serializes `close` with a flush in another thread: concurrent writes would interleave their blocks.
+        self._write_lock = threading.Lock()
 
     def __call__(self, fact: facts.Fact) -> None:
-        if len(self._waiting) >= self.most_facts:
+        if len(self._pending) >= self.max_facts:
             self.left_out += 1
             return
-        self._waiting.append(fact)
-        if len(self._waiting) % BLOCK_FACTS == 0:
+        self._pending.append(fact)
+        if len(self._pending) % BLOCK_FACTS == 0:
             self.on_block()
 
-    def flush(self, all_of_it: bool = False) -> None:
-        """Write what fills blocks; with `all_of_it` the rest, too."""
-        with self._writing:
+    def flush(self, include_partial: bool = False) -> None:
+        """Write the full blocks; with `include_partial` also the last, partial one."""
+        with self._write_lock:
             if not self._closed:
-                self._flush(all_of_it)
+                self._flush(include_partial)
 
-    def _flush(self, all_of_it: bool) -> None:
-        while len(self._waiting) >= BLOCK_FACTS or (all_of_it and self._waiting):
-            batch = [self._waiting.popleft() for _ in range(min(BLOCK_FACTS, len(self._waiting)))]
+    def _flush(self, include_partial: bool) -> None:
+        while len(self._pending) >= BLOCK_FACTS or (include_partial and self._pending):
+            batch = [self._pending.popleft() for _ in range(min(BLOCK_FACTS, len(self._pending)))]
             try:
                 self.sink.write(batch, self.left_out)
                 self._failed = False
             except OSError as error:
-                # A full disk must not end the gateway, nor fill its log.
+                # A full disk must neither stop the gateway nor flood its log.
                 self.left_out += len(batch)
                 if not self._failed:
-                    what = f"{error.strerror}; what can't be kept is counted"
+                    what = f"{error.strerror}; dropped facts are counted"
                     tell(log, TraceWriteError(what, file=self.sink.path.name), "trace")
                 self._failed = True
 
     def close(self) -> None:
-        """Waits for a flush that is under way; what comes after it writes nothing more."""
-        with self._writing:
-            self._flush(all_of_it=True)
+        """Write everything and close the file, after any flush in progress. Later flushes write nothing."""
+        with self._write_lock:
+            self._flush(include_partial=True)
             self._closed = True
             try:
                 self.sink.close()
