--- a/stackrouter/fleet/__init__.py
+++ b/stackrouter/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fault harness: processes of the program on loopback, faults between them, their history checked."""
+"""Fault-injection harness: runs program processes on loopback, injects faults and checks the history."""
--- a/stackrouter/fleet/backend.py
+++ b/stackrouter/fleet/backend.py
@@ -1,4 +1,4 @@
-"""What the members of a harness stand in front of: stand-in storage nodes, discovery and clients."""
+"""Stand-in storage nodes, discovery service and clients around the members of a harness."""
 
 from __future__ import annotations
 
@@ -11,43 +11,47 @@
 from stackrouter.standins.fleet import Scene, habits, settings
 from stackrouter.standins.node import Nature, StandinNode
 
-NODES = 6
-LEAST_LOAD = 0.1  # what limits are reckoned from where no clients ask
+NODE_COUNT = 6
+MIN_LOAD = 0.1  # load that the limits are computed from when a run has no clients
 
 
 class Backend:
-    """Storage nodes and discovery from the start on; clients once they are asked for."""
+    """Starts storage nodes and discovery at once, and clients on `start_clients`."""
 
     def __init__(self, options: HarnessOptions) -> None:
         self._seed = options.seed
-        self._scene = Scene(options.members, NODES, options.seed, options.load or LEAST_LOAD, "none")
-        self._usual, self._habits, _ = habits(self._scene)
-        sized = {h.volume: self._usual * (2 if h.plan == "priority" else 1) for h in self._habits}
-        self.nodes = [StandinNode(f"s-{i + 1}", i, Nature(), options.seed, sized) for i in range(NODES)]
+        self._scene = Scene(options.members, NODE_COUNT, options.seed, options.load or MIN_LOAD, "none")
+        self._usual_units_per_s, self._habits, _ = habits(self._scene)
+        provisioned = {
+            h.volume: self._usual_units_per_s * (2 if h.plan == "priority" else 1) for h in self._habits
+        }
+        self.nodes = [
+            StandinNode(f"s-{i + 1}", i, Nature(), options.seed, provisioned) for i in range(NODE_COUNT)
+        ]
         self.discovery = StandinDiscovery(
             [entry(n.name, n.address, n.shard, "hall-a", "std") for n in self.nodes]
         )
         self.clients: StandinClients | None = None
 
     def settings(self) -> dict[str, Any]:
-        """The platform's settings that all members start with."""
-        return settings(self._scene, self._usual)
+        """The platform settings that every member starts with."""
+        return settings(self._scene, self._usual_units_per_s)
 
     def listing(self) -> dict[str, Any]:
-        """Discovery's answer: its version of the list, and the storage nodes."""
+        """Discovery's current response: the list version and the storage nodes."""
         return self.discovery.listing()
 
     def start_clients(self, ports: Sequence[int]) -> None:
-        """Have clients ask the members at these ports, until `stop`."""
+        """Starts clients that send requests to the members on these ports until `stop_clients`."""
         self.clients = StandinClients(self._habits, [("127.0.0.1", port) for port in ports], self._seed)
 
     def stop_clients(self) -> None:
-        """End the clients, if there are any."""
+        """Stops the clients, if they were started."""
         if self.clients is not None:
             self.clients.stop()
 
     def stop(self) -> None:
-        """End discovery and the storage nodes."""
+        """Stops discovery and the storage nodes."""
         self.discovery.stop()
         for node in self.nodes:
             node.stop()
--- a/stackrouter/fleet/check.py
+++ b/stackrouter/fleet/check.py
@@ -1,9 +1,9 @@
-"""What the history of a run shows. No I/O.
+"""Checks the recorded history of a run for lease and policy violations. No I/O.
 
-An *overlap* is an action that the receiving side took although a later holder had been there (a lower token
-after a higher one), or under a token that another member has acted under. A *belief overlap* is an action
-whose sender looked at its clock, saw its lease in force, and yet a later holder had looked before it: the
-receiving side has to refuse it, and within the stated drift there may be none.
+An *overlap* is an action that the receiver accepted although a later holder had acted before (a lower token
+after a higher one), or an accepted action whose token another member has used. A *belief overlap* is an
+action whose sender checked its clock and found its lease valid although a later holder had made that check
+earlier. The receiver has to reject such an action, and none may occur while clock drift stays in bounds.
 """
 
 from __future__ import annotations
@@ -11,38 +11,41 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-IMPAIRING = ("partition", "oneway", "stall", "kill", "delay", "drop")
-LOSES = ("partition", "stall", "kill")  # what makes a holder lose its duty
+IMPAIRING = ("partition", "oneway", "stall", "kill", "delay", "drop")  # faults that can slow a handoff
+LEASE_LOSING = ("partition", "stall", "kill")  # faults that make a holder lose its lease
 
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """One action of a duty as its receiver got it. Times are nanoseconds of the machine's monotonic clock."""
+    """One action under a duty's lease, as the receiver recorded it. Times are nanoseconds of the machine's
+    monotonic clock."""
 
-    at: int
+    received_ns: int
     duty: str
     token: int
-    life: str  # the member, `#`, and which of its lives
-    looked_at: int
+    incarnation: str  # `MEMBER#N`: the N-th process of this member
+    checked_ns: int  # when the sender checked that its lease was valid
     accepted: bool
 
     @property
     def member(self) -> str:
-        return self.life.partition("#")[0]
+        return self.incarnation.partition("#")[0]
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    at: int
-    until: int
+    """A fault that was injected at a member. Times are nanoseconds of the machine's monotonic clock."""
+
+    begun_ns: int
+    ended_ns: int
     kind: str
     member: str
 
 
 @dataclass(frozen=True, slots=True)
 class Handoff:
-    """From a fault of the holder to the first action taken from the next one. `clean`: nothing else was
-    wrong."""
+    """The time from a fault at the holder to the next holder's first accepted action. `clean`: no other
+    impairing fault overlapped with it."""
 
     duty: str
     kind: str
@@ -52,20 +55,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
+    """Counts of what the history of actions shows; see the module's text for the two kinds of overlap."""
+
     overlaps: int
     belief_overlaps: int
     refused: int
     actions: int
     handoffs: tuple[Handoff, ...]
-    unfinished: int  # the holder's fault was never followed by another's action, nor by its own
+    unfinished: int  # faults at a holder after which neither a new holder nor the old one acted again
 
 
 def check(actions: Sequence[Action], faults: Sequence[Fault]) -> Verdict:
-    taken = [a for a in sorted(actions, key=lambda a: a.at) if a.accepted]
-    handoffs, unfinished = _handoffs(taken, faults)
+    """Checks the actions of a run against the lease rules and measures its handoffs."""
+    accepted = [a for a in sorted(actions, key=lambda a: a.received_ns) if a.accepted]
+    handoffs, unfinished = _handoffs(accepted, faults)
     return Verdict(
-        overlaps=_crossings(taken),
-        belief_overlaps=_crossings(sorted(actions, key=lambda a: a.looked_at)),
+        overlaps=_token_violations(accepted),
+        belief_overlaps=_token_violations(sorted(actions, key=lambda a: a.checked_ns)),
         refused=sum(not a.accepted for a in actions),
         actions=len(actions),
         handoffs=tuple(handoffs),
@@ -73,57 +79,65 @@
     )
 
 
-def _crossings(actions: Sequence[Action]) -> int:
-    """Actions, in this order, whose token is lower than one before, or another member's."""
+def _token_violations(actions: Sequence[Action]) -> int:
+    """Counts actions whose token is lower than an earlier one, or was first used by another process."""
     highest: dict[str, int] = {}
     owner: dict[tuple[str, int], str] = {}
     count = 0
     for a in actions:
-        foreign = owner.setdefault((a.duty, a.token), a.life) != a.life
+        foreign = owner.setdefault((a.duty, a.token), a.incarnation) != a.incarnation
         count += a.token < highest.get(a.duty, 0) or foreign
         highest[a.duty] = max(a.token, highest.get(a.duty, 0))
     return count
 
 
-def _handoffs(taken: Sequence[Action], faults: Sequence[Fault]) -> tuple[list[Handoff], int]:
+def _handoffs(accepted: Sequence[Action], faults: Sequence[Fault]) -> tuple[list[Handoff], int]:
+    """The handoffs that faults caused, and how many faults at a holder were followed by no action."""
     found: list[Handoff] = []
     unfinished = 0
     for fault in faults:
-        if fault.kind not in LOSES:
+        if fault.kind not in LEASE_LOSING:
             continue
-        for duty in {a.duty for a in taken}:
-            mine = [a for a in taken if a.duty == duty]
-            before = [a for a in mine if a.at <= fault.at]
+        for duty in {a.duty for a in accepted}:
+            of_duty = [a for a in accepted if a.duty == duty]
+            before = [a for a in of_duty if a.received_ns <= fault.begun_ns]
             if not before or before[-1].member != fault.member:
                 continue
-            after = next((a for a in mine if a.at > fault.at and a.token > before[-1].token), None)
+            after = next(
+                (a for a in of_duty if a.received_ns > fault.begun_ns and a.token > before[-1].token), None
+            )
             if after is None:
-                unfinished += not any(a.at > fault.until for a in mine)
+                unfinished += not any(a.received_ns > fault.ended_ns for a in of_duty)
                 continue
-            kept = any(fault.until <= a.at < after.at and a.token == before[-1].token for a in mine)
+            kept = any(
+                fault.ended_ns <= a.received_ns < after.received_ns and a.token == before[-1].token
+                for a in of_duty
+            )
             if kept:
-                continue  # it came through: what took the duty from it came later
-            clean = not any(other is not fault and other.kind in IMPAIRING and other.at < after.at
-                            and other.until > fault.at for other in faults)  # fmt: skip
-            found.append(Handoff(duty, fault.kind, (after.at - fault.at) / 1e6, clean))
+                continue  # the holder survived this fault; a later one caused the handoff
+            clean = not any(other is not fault and other.kind in IMPAIRING
+                            and other.begun_ns < after.received_ns
+                            and other.ended_ns > fault.begun_ns for other in faults)  # fmt: skip
+            found.append(Handoff(duty, fault.kind, (after.received_ns - fault.begun_ns) / 1e6, clean))
     return found, unfinished
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """A member would have served a request under this version then."""
+    """A sample: the policy version that a member would have served a request under at that time."""
 
-    at: int
+    sampled_ns: int  # machine's monotonic clock
     version: int
     digest: str
-    life: str
+    incarnation: str  # as in `Action`
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyVerdict:
-    """`splits_ms`: by committed version, from the first member that served under it to the last time that any
-    served under an older one; `spread_ms`: to the last member's first time under it, of those that came to
-    it; `twins`: versions that two members hold with different content."""
+    """`uncommitted_served`: samples whose version was not committed with that digest; `splits_ms`: per
+    committed version, from the first sample under it to the last sample under an older one; `spreads_ms`: per
+    committed version, from the first sample under it to the first one of the last member that adopted it;
+    `twins`: versions that two members hold with different content."""
 
     uncommitted_served: int
     splits_ms: tuple[float, ...]
@@ -133,33 +147,33 @@
 
 
 def check_policy(samples: Sequence[Served], ledgers: Sequence[Sequence[tuple[int, str]]]) -> PolicyVerdict:
-    """`ledgers`: the committed versions and digests, as each member told them whenever it was asked."""
+    """Checks the samples of a run. `ledgers`: the committed versions and digests of each status response."""
     committed: dict[int, str] = {}
     twins: set[int] = set()
     for ledger in ledgers:
         for number, digest in ledger:
             if committed.setdefault(number, digest) != digest:
                 twins.add(number)
-    ordered = sorted(samples, key=lambda s: s.at)
-    wrong = sum(s.version > 0 and committed.get(s.version) != s.digest for s in ordered)
+    ordered = sorted(samples, key=lambda s: s.sampled_ns)
+    uncommitted = sum(s.version > 0 and committed.get(s.version) != s.digest for s in ordered)
     splits, spreads = [], []
     for number in sorted(committed):
-        first = next((s.at for s in ordered if s.version >= number), None)
-        if first is None:
+        first_ns = next((s.sampled_ns for s in ordered if s.version >= number), None)
+        if first_ns is None:
             continue
-        older = [s.at for s in ordered if s.at > first and s.version < number]
-        splits.append((max(older) - first) / 1e6 if older else 0.0)
-        came: dict[str, int] = {}
+        older = [s.sampled_ns for s in ordered if s.sampled_ns > first_ns and s.version < number]
+        splits.append((max(older) - first_ns) / 1e6 if older else 0.0)
+        adopted_ns: dict[str, int] = {}
         for s in ordered:
             if s.version >= number:
-                came.setdefault(s.life, s.at)
-        served_before = {s.life for s in ordered if s.at < first}
-        late = [at - first for life, at in came.items() if life in served_before]
-        spreads.append(max(late, default=0) / 1e6)
-    return PolicyVerdict(wrong, tuple(splits), tuple(spreads), len(twins), len(ordered))
+                adopted_ns.setdefault(s.incarnation, s.sampled_ns)
+        served_before = {s.incarnation for s in ordered if s.sampled_ns < first_ns}
+        delays = [at - first_ns for incarnation, at in adopted_ns.items() if incarnation in served_before]
+        spreads.append(max(delays, default=0) / 1e6)
+    return PolicyVerdict(uncommitted, tuple(splits), tuple(spreads), len(twins), len(ordered))
 
 
 def percentile(values: Sequence[float], part: float) -> float | None:
-    """The value that `part` of them do not exceed; None of none."""
+    """The value that the fraction `part` of the values does not exceed; None if there are no values."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else None
--- a/stackrouter/fleet/figures.py
+++ b/stackrouter/fleet/figures.py
@@ -1,6 +1,6 @@
-"""The figures of a run of the fault harness and of a sweep over many seeds, and whether they hold. No I/O.
+"""Figures of a run of the fault harness and of a sweep over many seeds, and the checks on them. No I/O.
 
-The names of the fields are those of the JSON that `fleet run --json` prints.
+The field names are those of the JSON that `fleet run --json` prints.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from stackrouter.fleet.check import percentile
 from stackrouter.fleet.options import HarnessOptions
 
-SLACK_MS = 500  # beyond ttl and election: the bound that handoffs are held to
-SAMPLE_MS = 20  # beyond the time between two actions: how much later a sample comes at most
+HANDOFF_SLACK_MS = 500  # handoffs may take the ttl, the election timeout and this much more
+SAMPLE_SLACK_MS = 20  # a sample is at most this much later than the interval between two actions
 
 
 class HandoffTime(NamedTuple):
-    """How long a handoff took after a fault of this kind; `clean`: nothing else was wrong."""
+    """How long a handoff took after a fault of this kind; `clean`: no other impairing fault overlapped."""
 
     kind: str
     ms: float
@@ -27,8 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoffFigures:
-    """Handoffs while nothing but the holder's own fault was wrong are held to the bound; all are told of
-    (`_any`)."""
+    """Clean handoffs, which are checked against the bound, and all handoffs (`_any`), for information."""
 
     handoff_ms_p50: float | None
     handoff_ms_p99: float | None
@@ -39,22 +38,22 @@
 
     @classmethod
     def of(cls, handoffs: Sequence[HandoffTime]) -> HandoffFigures:
-        clean = [handoff.ms for handoff in handoffs if handoff.clean]
-        every = [handoff.ms for handoff in handoffs]
+        clean_ms = [handoff.ms for handoff in handoffs if handoff.clean]
+        all_ms = [handoff.ms for handoff in handoffs]
         return cls(
-            handoff_ms_p50=percentile(clean, 0.5),
-            handoff_ms_p99=percentile(clean, 0.99),
-            handoff_ms_max=max(clean, default=None),
-            handoffs_clean=len(clean),
-            handoff_ms_p99_any=percentile(every, 0.99),
-            handoffs_any=len(every),
+            handoff_ms_p50=percentile(clean_ms, 0.5),
+            handoff_ms_p99=percentile(clean_ms, 0.99),
+            handoff_ms_max=max(clean_ms, default=None),
+            handoffs_clean=len(clean_ms),
+            handoff_ms_p99_any=percentile(all_ms, 0.99),
+            handoffs_any=len(all_ms),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class SpanFigures:
-    """Milliseconds. `split`: how long two versions were served under at once; `spread`: how long until the
-    last member had come to a version."""
+    """Milliseconds. `split`: how long members served under two versions at once; `spread`: how long until the
+    last member had adopted a version."""
 
     split_ms_p50: float | None
     split_ms_p99: float | None
@@ -77,8 +76,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyFigures:
-    """`committed` and `aborted`: changes by how they ended; `changes`: the same in the members' words;
-    `splits_ms`, `spreads_ms`: one value a committed version."""
+    """`committed` and `aborted`: numbers of changes by result; `changes`: the same by the outcome that the
+    members reported; `splits_ms`, `spreads_ms`: one value per committed version."""
 
     uncommitted_served: int
     twins: int
@@ -92,15 +91,16 @@
     spans: SpanFigures
 
     def to_json(self) -> dict[str, Any]:
-        told: dict[str, Any] = asdict(self)
-        spans: dict[str, Any] = told.pop("spans")
-        return told | spans
+        values: dict[str, Any] = asdict(self)
+        spans: dict[str, Any] = values.pop("spans")
+        return values | spans
 
 
 @dataclass(frozen=True, slots=True)
 class RunFigures:
-    """One harness. `runs`: how many seeds' faults it played; `faults`, `by_kind`: how many there were;
-    `exits`: the members' exit codes; `requests`: what clients were told, empty without clients."""
+    """Figures of one harness. `runs`: how many seeds' schedules it ran; `faults`, `by_kind`: numbers of
+    injected faults; `exits`: the members' exit codes; `requests`: the clients' responses by verdict, empty
+    without clients."""
 
     members: int
     seed: int
@@ -126,47 +126,47 @@
     policy: PolicyFigures | None
 
     def to_json(self) -> dict[str, Any]:
-        told: dict[str, Any] = asdict(self)
-        del told["policy"]
-        times: dict[str, Any] = told.pop("times")
-        return told | times | (self.policy.to_json() if self.policy is not None else {})
+        values: dict[str, Any] = asdict(self)
+        del values["policy"]
+        times: dict[str, Any] = values.pop("times")
+        return values | times | (self.policy.to_json() if self.policy is not None else {})
 
     @classmethod
-    def from_json(cls, told: Mapping[str, Any]) -> RunFigures:
-        """What `to_json` gave. KeyError or TypeError: it is something else."""
-        handoffs = [HandoffTime(kind, ms, clean) for kind, ms, clean in told["handoffs"]]
+    def from_json(cls, values: Mapping[str, Any]) -> RunFigures:
+        """Reads the result of `to_json`. Raises KeyError or TypeError if `values` has another shape."""
+        handoffs = [HandoffTime(kind, ms, clean) for kind, ms, clean in values["handoffs"]]
         policy = None
-        if "committed" in told:
-            policy = PolicyFigures(**_picked(PolicyFigures, told), spans=_spans(told))
-        simple = _picked(RunFigures, told) | {"handoffs": handoffs}
-        return cls(**simple, times=HandoffFigures(**_picked(HandoffFigures, told)), policy=policy)
+        if "committed" in values:
+            policy = PolicyFigures(**_picked(PolicyFigures, values), spans=_spans(values))
+        simple = _picked(RunFigures, values) | {"handoffs": handoffs}
+        return cls(**simple, times=HandoffFigures(**_picked(HandoffFigures, values)), policy=policy)
 
     def holds(self) -> bool:
-        """Whether nothing was broken in this run alone. Its handoffs are held to the bound only with those of
-        other runs: its 99th percentile is its slowest."""
+        """Whether this run on its own broke no rule. Its handoffs are checked against the bound only together
+        with those of other runs: with so few of them the 99th percentile is the slowest."""
         policy = self.policy
-        broken = self.overlaps + self.belief_overlaps + self.unfinished
-        return not broken and (
+        violations = self.overlaps + self.belief_overlaps + self.unfinished
+        return not violations and (
             policy is None or not policy.uncommitted_served + policy.twins + policy.disagreed
         )
 
 
-def _picked(kind: type, told: Mapping[str, Any]) -> dict[str, Any]:
-    """The values of the fields that stand in the JSON under their own names."""
-    apart = ("times", "policy", "spans")
-    return {slot.name: told[slot.name] for slot in fields(kind) if slot.name not in apart}
+def _picked(kind: type, values: Mapping[str, Any]) -> dict[str, Any]:
+    """The values of the fields that the JSON holds under their own names."""
+    nested = ("times", "policy", "spans")
+    return {slot.name: values[slot.name] for slot in fields(kind) if slot.name not in nested}
 
 
-def _spans(told: Mapping[str, Any]) -> SpanFigures:
-    return SpanFigures(**_picked(SpanFigures, told))
+def _spans(values: Mapping[str, Any]) -> SpanFigures:
+    return SpanFigures(**_picked(SpanFigures, values))
 
 
 @dataclass(slots=True)
 class SweepFigures:
-    """Many harnesses, each with a seed of its own: sums, and the seeds that did not hold.
+    """Figures of many harnesses, each with its own seed: sums, and the seeds that failed the checks.
 
-    `harnesses`: how many were to be run; `harnesses_finished`: how many of them gave their figures with all
-    of their members; the others are `harnesses_unfinished`. `failed`: harnesses without figures."""
+    `harnesses`: how many were to run; `harnesses_finished`: how many of them returned figures that account
+    for all their members; the others are `harnesses_unfinished`. `failed`: harnesses without figures."""
 
     members: str
     seed: int
@@ -178,19 +178,19 @@
     each: list[RunFigures] = field(default_factory=list)
     finished: int = 0
 
-    def add(self, one: RunFigures) -> None:
-        """A harness has ended and given its figures."""
-        self.each.append(one)
-        self.runs += one.runs
-        if sum(one.exits.values()) == one.members:
+    def add(self, run: RunFigures) -> None:
+        """Adds the figures of a harness that has ended."""
+        self.each.append(run)
+        self.runs += run.runs
+        if sum(run.exits.values()) == run.members:
             self.finished += 1
         else:
-            self.bad_seeds.append(f"{one.seed}: {sum(one.exits.values())} of {one.members} members ended")
-        if not one.holds():
-            self.bad_seeds.append(str(one.seed))
+            self.bad_seeds.append(f"{run.seed}: {sum(run.exits.values())} of {run.members} members ended")
+        if not run.holds():
+            self.bad_seeds.append(str(run.seed))
 
     def add_failed(self, seed: int, why: str) -> None:
-        """A harness has ended without figures."""
+        """Records a harness that ended without figures."""
         self.failed += 1
         self.bad_seeds.append(f"{seed}: {why}")
 
@@ -199,40 +199,40 @@
         return self.harnesses - self.finished
 
     def handoffs(self) -> list[HandoffTime]:
-        return [handoff for one in self.each for handoff in one.handoffs]
+        return [handoff for run in self.each for handoff in run.handoffs]
 
     def policies(self) -> list[PolicyFigures]:
-        return [one.policy for one in self.each if one.policy is not None]
+        return [run.policy for run in self.each if run.policy is not None]
 
     def to_json(self) -> dict[str, Any]:
         handoffs = self.handoffs()
-        told: dict[str, Any] = {"members": self.members, "seed": self.seed, "runs": self.runs,
+        values: dict[str, Any] = {"members": self.members, "seed": self.seed, "runs": self.runs,
                                 "failed": self.failed}  # fmt: skip
         for name in ("overlaps", "belief_overlaps", "refused", "actions", "unfinished", "faults"):
-            told[name] = sum(getattr(one, name) for one in self.each)
+            values[name] = sum(getattr(run, name) for run in self.each)
         if self.keeps_policy:
             for name in ("uncommitted_served", "twins", "disagreed", "committed", "aborted", "samples"):
-                told[name] = sum(getattr(policy, name) for policy in self.policies())
-        told |= {
+                values[name] = sum(getattr(policy, name) for policy in self.policies())
+        values |= {
             "harnesses": self.harnesses,
             "harnesses_finished": self.finished,
             "harnesses_unfinished": self.unfinished,
-            "by_kind": _summed(one.by_kind for one in self.each),
-            "exits": _summed(one.exits for one in self.each),
+            "by_kind": _summed(run.by_kind for run in self.each),
+            "exits": _summed(run.exits for run in self.each),
             "bad_seeds": self.bad_seeds,
             "slow_seeds": [],
             "p99_by_kind": _p99_by_kind(handoffs),
-            "cpu_ms_s": percentile([ms for one in self.each for ms in one.cpu_ms_s], 0.5),
-            "rss_mib": percentile([mib for one in self.each for mib in one.rss_mib], 0.5),
+            "cpu_ms_s": percentile([ms for run in self.each for ms in run.cpu_ms_s], 0.5),
+            "rss_mib": percentile([mib for run in self.each for mib in run.rss_mib], 0.5),
         }
-        told |= asdict(HandoffFigures.of(handoffs))
+        values |= asdict(HandoffFigures.of(handoffs))
         if self.keeps_policy:
             policies = self.policies()
             splits = [ms for policy in policies for ms in policy.splits_ms]
             spreads = [ms for policy in policies for ms in policy.spreads_ms]
-            told["changes"] = _summed(policy.changes for policy in policies)
-            told |= asdict(SpanFigures.of(splits, spreads))
-        return told
+            values["changes"] = _summed(policy.changes for policy in policies)
+            values |= asdict(SpanFigures.of(splits, spreads))
+        return values
 
 
 def _summed(counts: Iterable[Mapping[str, int]]) -> dict[str, int]:
@@ -243,15 +243,15 @@
 
 
 def _p99_by_kind(handoffs: Sequence[HandoffTime]) -> dict[str, float | None]:
-    """Of clean handoffs; None where all of a kind had something else wrong."""
+    """99th percentile of the clean handoffs by kind of fault; None for a kind without clean handoffs."""
     kinds = sorted({handoff.kind for handoff in handoffs})
     return {kind: percentile([h.ms for h in handoffs if h.clean and h.kind == kind], 0.99) for kind in kinds}
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the figures of a run or a sweep are held to, in milliseconds; `split_bound_ms` None: no policy is
-    kept."""
+    """Limits on the figures of a run or a sweep, in milliseconds. `split_bound_ms`: None if no policy is
+    managed; `clocks_keep_drift`: the members' clocks keep within the drift bound."""
 
     handoff_bound_ms: int
     split_bound_ms: float | None
@@ -259,27 +259,28 @@
 
     @classmethod
     def of(cls, options: HarnessOptions) -> Bounds:
-        split = None
+        split_ms = None
         if options.policy:
-            # A member that has not heard of a version has stopped taking requests before anybody serves under
-            # it; its clock and ours may differ by the drift, and a sample comes at most so much late.
-            drift = 1 + options.drift_ms / options.ttl_ms
-            split = options.touch_ms * drift + options.every_ms + SAMPLE_MS
-        handoff = options.ttl_ms + options.election_ms + SLACK_MS
-        return cls(handoff, split, "skew-beyond" not in options.kinds)
-
-    def judged(self, told: dict[str, Any]) -> dict[str, Any]:
-        """These figures with the bounds and with `ok`: whether they hold."""
-        holds = not (told["overlaps"] or told["failed"] or told["unfinished"])
-        holds = holds and not told.get("harnesses_unfinished")
-        holds = holds and not (self.clocks_keep_drift and told["belief_overlaps"])
+            # A member that has not received a version stops accepting requests before any member serves under
+            # it. Its clock may differ from this one by the drift, and a sample may be late by the two terms
+            # that are added.
+            drift_factor = 1 + options.drift_ms / options.ttl_ms
+            split_ms = options.touch_ms * drift_factor + options.every_ms + SAMPLE_SLACK_MS
+        handoff_ms = options.ttl_ms + options.election_ms + HANDOFF_SLACK_MS
+        return cls(handoff_ms, split_ms, "skew-beyond" not in options.kinds)
+
+    def judged(self, values: dict[str, Any]) -> dict[str, Any]:
+        """These figures with the bounds added, and `ok`: whether they keep to the bounds."""
+        holds = not (values["overlaps"] or values["failed"] or values["unfinished"])
+        holds = holds and not values.get("harnesses_unfinished")
+        holds = holds and not (self.clocks_keep_drift and values["belief_overlaps"])
         bounds: dict[str, Any] = {}
         slow = False
         if self.split_bound_ms is not None:
             bounds["split_bound_ms"] = self.split_bound_ms
-            holds = holds and not (told["uncommitted_served"] or told["twins"] or told["disagreed"])
-            holds = holds and (told["split_ms_max"] or 0) <= self.split_bound_ms
+            holds = holds and not (values["uncommitted_served"] or values["twins"] or values["disagreed"])
+            holds = holds and (values["split_ms_max"] or 0) <= self.split_bound_ms
         else:
-            p99 = told["handoff_ms_p99"]
+            p99 = values["handoff_ms_p99"]
             slow = p99 is not None and p99 >= self.handoff_bound_ms
-        return told | bounds | {"handoff_bound_ms": self.handoff_bound_ms, "ok": holds and not slow}
+        return values | bounds | {"handoff_bound_ms": self.handoff_bound_ms, "ok": holds and not slow}
--- a/stackrouter/fleet/harness.py
+++ b/stackrouter/fleet/harness.py
@@ -1,5 +1,5 @@
-"""Starts the members, the links between them and the receiver of their actions; plays a schedule of faults
-and changes on them, and checks their history."""
+"""Starts the members, the links between them and the receiver of their actions, runs a schedule of faults and
+policy changes against them, and checks the recorded history."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 from stackrouter.fleet.schedule import Schedule, draw, draw_changes
 
 START_S = 20.0
-START_MEMBER_S = 0.5  # and so much more for each member: all of them start at once
-SETTLE_S = 8.0  # at the end, for whoever has to take over
+START_PER_MEMBER_S = 0.5  # added to START_S for each member, since all of them start at once
+SETTLE_S = 8.0  # after a round, for pending takeovers to complete
 POLL_S = 0.02
 
 
 class Harness:
-    """Use as a context: on the way out everything that was started ends, and `exits` holds the members' exit
-    codes. `log_entries_s`: of the last round, None where the journals could not be read; `elections`: terms
-    that began while faults and changes came; `took_s`: how long `run` took."""
+    """A context manager: on exit everything that it started is stopped, and `exits` holds the members' exit
+    codes. `log_entries_s`: log entries per second in the last round, None if the journals could not be read;
+    `elections`: terms that began during the phases of faults and changes; `took_s`: duration of `run`."""
 
     def __init__(self, options: HarnessOptions, folder: Path) -> None:
         self.options, self.folder = options, folder
@@ -67,8 +67,8 @@
                 self._files.write(i)
                 if i != self.injector.late:
                     self.processes.start(i)
-            within_s = START_S + START_MEMBER_S * self.options.members
-            self.wait_until(self._all_duties_taken, within_s, "no duty was taken")
+            timeout_s = START_S + START_PER_MEMBER_S * self.options.members
+            self.wait_until(self._all_duties_held, timeout_s, "not every duty has a holder")
         except BaseException:
             self.__exit__()
             raise
@@ -83,41 +83,48 @@
         self.backend.stop()
 
     def run(self, rounds: int = 1) -> Verdict:
-        """Do what the schedule says and let the fleet settle, then what the next seed's says; check the
-        history."""
-        began = time.monotonic()
+        """Runs one schedule per round, with consecutive seeds, letting the fleet settle after each; then
+        checks the history."""
+        began_s = time.monotonic()
         if self.options.load:
             if self.options.policy:
-                self.wait_until(self.policy_changes.agreed, SETTLE_S, "the members have no valid heartbeat")
+                self.wait_until(
+                    self.policy_changes.agreed,
+                    SETTLE_S,
+                    "not all members are ready under the same policy version",
+                )
             self.backend.start_clients([place.client_port for place in self.places])
-        for nth in range(rounds):
-            if nth:
-                self.schedule = self._draw(self.options.seed + nth)
-            self._play(self.options.seed + nth)
-        self.took_s = time.monotonic() - began
+        for i in range(rounds):
+            if i:
+                self.schedule = self._draw(self.options.seed + i)
+            self._run_round(self.options.seed + i)
+        self.took_s = time.monotonic() - began_s
         return check(self.receiver.actions, self.injector.faults)
 
     def check_policy(self) -> PolicyVerdict:
-        """What the history of the versions that were served under shows."""
+        """Checks the history of the policy versions that the members served under."""
         return check_policy(self.receiver.served, self.policy_changes.ledgers)
 
     def leadership(self) -> Leadership:
-        """The latest term with a leader that any member's log tells of."""
+        """The latest term with a leader that any member's log reports."""
         return latest_leadership(place.log for place in self.places)
 
     def log_index(self) -> int:
-        """How many entries the group's log has had; 0: no journal could be read."""
+        """The highest index in the group's log; 0 if no journal could be read."""
         return max(last_index(place.journal) for place in self.places)
 
-    def wait_until(self, so: Callable[[], bool], within_s: float, otherwise: str, fatal: bool = True) -> bool:
-        """Whether it came so in time. If it is fatal that it did not, or that a member ends: StartError."""
-        until = time.monotonic() + within_s
-        while not so():
+    def wait_until(
+        self, condition: Callable[[], bool], timeout_s: float, error: str, fatal: bool = True
+    ) -> bool:
+        """Waits for the condition and returns whether it held in time. With `fatal`, raises StartError with
+        the text `error` on a timeout, and also when a member ends."""
+        deadline = time.monotonic() + timeout_s
+        while not condition():
             if fatal and (ended := self.processes.ended()) is not None:
                 raise StartError(ended)
-            if time.monotonic() > until:
+            if time.monotonic() > deadline:
                 if fatal:
-                    raise StartError(otherwise)
+                    raise StartError(error)
                 return False
             gevent.sleep(POLL_S)
         return True
@@ -130,45 +137,45 @@
     def _leader(self) -> str | None:
         return self.leadership().leader or None
 
-    def _all_duties_taken(self) -> bool:
+    def _all_duties_held(self) -> bool:
         return all(self.receiver.holder(duty) for duty in DUTIES)
 
-    def _play(self, seed: int) -> None:
-        """One round: the schedule's faults and the seed's changes, then time to settle."""
+    def _run_round(self, seed: int) -> None:
+        """Runs one round: the schedule's faults and the seed's policy changes, then lets the fleet settle."""
         options = self.options
-        steps: list[gevent.Greenlet[..., None]] = [
+        tasks: list[gevent.Greenlet[..., None]] = [
             gevent.spawn_later(step.at_us / 1e6, self.injector.apply, step) for step in self.schedule.steps
         ]
         if options.policy:
             drawn = draw_changes(
                 seed, options.members, options.seconds, options.ttl_ms * 1000, bool(options.kinds)
             )
-            steps += [
+            tasks += [
                 gevent.spawn_later(change.at_us / 1e6, self.policy_changes.make, change) for change in drawn
             ]
         self._measure_for(options.seconds)
-        gevent.joinall(steps, raise_error=True)
+        gevent.joinall(tasks, raise_error=True)
         for i in self.processes.programs:
             self.meter.measure(i)
         self._settle()
 
     def _measure_for(self, seconds: float) -> None:
-        """Let so much time pass, and note what it cost and how the log grew."""
-        began, entries, term = time.monotonic(), self.log_index(), self.leadership().term
+        """Waits `seconds` and records CPU cost, log growth and elections over that time."""
+        began_s, first_index, term = time.monotonic(), self.log_index(), self.leadership().term
         self.meter.begin_steady()
         gevent.sleep(seconds)
-        if entries and (now := self.log_index()):
-            self.log_entries_s = (now - entries) / (time.monotonic() - began)
+        if first_index and (final_index := self.log_index()):
+            self.log_entries_s = (final_index - first_index) / (time.monotonic() - began_s)
         self.elections += self.leadership().term - term
         self.meter.end_steady()
 
     def _settle(self) -> None:
-        """Wait until all duties are acted under and all members serve under one version; not for ever."""
-        healed = time.monotonic_ns()
+        """Waits up to SETTLE_S for an action under every duty, then for all members to agree on a version."""
+        healed_ns = time.monotonic_ns()
         self.wait_until(
-            lambda: all(self.receiver.acted_since(duty, healed) for duty in DUTIES),
+            lambda: all(self.receiver.acted_since(duty, healed_ns) for duty in DUTIES),
             SETTLE_S,
-            "the duties were not taken up again after the faults",
+            "no action under some duty after the faults ended",
             fatal=False,
         )
         if self.options.policy:
--- a/stackrouter/fleet/links.py
+++ b/stackrouter/fleet/links.py
@@ -1,4 +1,4 @@
-"""The links between every two members, with a fault proxy on each."""
+"""Links between each pair of members, with a fault-injecting proxy on each."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from stackrouter.fleet.proxy import Link, Way
 
-DELAY_S = 0.08  # a piece is held back for half to one and a half times this
-LOSS = 0.2  # of the pieces
+DELAY_S = 0.08  # each chunk is delayed by 0.5 to 1.5 times this
+LOSS_RATIO = 0.2  # of the chunks
 
 
 class LinkMesh:
-    """One link a pair: the library connects from the higher address, as text, to the lower. `proxied`:
-    False: members reach one another directly, and no fault can be put on a link."""
+    """One link per pair: the Raft library connects from the address that sorts higher as text to the lower
+    one. With `proxied` False, members connect directly and no link faults can be injected."""
 
     def __init__(self, addresses: Sequence[str], proxied: bool, rng: Random) -> None:
         self._links: dict[tuple[int, int], Link] = {}
@@ -24,21 +24,21 @@
                     self._links[i, j] = Link((host, int(port)), rng)
 
     def dial(self, i: int, j: int) -> str | None:
-        """Where member i connects to reach member j, if not at its address."""
+        """The proxy address that member i dials to reach member j; None if it dials the member itself."""
         link = self._links.get((i, j))
         return None if link is None else link.address
 
     def impair(self, i: int, kind: str, on: bool) -> None:
-        """Begin or end a fault (`schedule.SPANS`) on all links of member i."""
+        """Starts or ends a fault (`schedule.SPANS`) on all links of member i."""
         for (a, b), link in self._links.items():
             if i not in (a, b):
                 continue
-            out, back = (link.there, link.back) if i == a else (link.back, link.there)
-            for way in [out] if kind == "oneway" else [out, back]:
+            outbound, inbound = (link.there, link.back) if i == a else (link.back, link.there)
+            for way in [outbound] if kind == "oneway" else [outbound, inbound]:
                 _impair(way, kind, on)
 
     def close(self) -> None:
-        """Listen no more on any link."""
+        """Stops listening on all links."""
         for link in self._links.values():
             link.close()
 
@@ -49,4 +49,4 @@
     elif kind == "delay":
         way.delay_s = DELAY_S if on else 0.0
     else:
-        way.loss = LOSS if on else 0.0
+        way.loss = LOSS_RATIO if on else 0.0
--- a/stackrouter/fleet/member_files.py
+++ b/stackrouter/fleet/member_files.py
@@ -1,4 +1,4 @@
-"""Where the members of a harness are reached, and the files that they start with."""
+"""Addresses of the members of a harness, and the configuration files that they start with."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 @dataclass(frozen=True, slots=True)
 class MemberPlace:
     """A member's name and where it listens on loopback: `address` for the other members, `client_port` for
-    clients, `admin_port` for its admin socket. Its files stand in `folder`."""
+    clients, `admin_port` for its admin socket. Its files are in `folder`."""
 
     name: str
     address: str
@@ -38,12 +38,12 @@
 
     @property
     def journal(self) -> Path:
-        """Where the Raft library keeps this member's log."""
+        """The file in which the Raft library keeps this member's log."""
         return self.folder / f"{self.address.replace(':', '_')}.journal"
 
 
 def member_places(count: int, ports: Ports, folder: Path) -> list[MemberPlace]:
-    """Places for so many members, named g1, g2 and so on."""
+    """Allocates places for `count` members, named g1, g2 and so on."""
     addresses = [f"127.0.0.1:{ports.take()}" for _ in range(count)]
     client_ports = [ports.take() for _ in range(count)]
     admin_ports = [ports.take() for _ in range(count)]
@@ -53,17 +53,17 @@
 
 
 class MemberFiles:
-    """Writes each member's own configuration and its operator's file."""
+    """Writes the configuration and the operator's file of each member."""
 
     def __init__(self, options: HarnessOptions, places: Sequence[MemberPlace], backend: Backend,
                  links: LinkMesh, receiver: str, clock_ppm: Sequence[int]) -> None:  # fmt: skip
-        """`receiver`: the address that actions are sent to; `clock_ppm`: by member, how much faster its lease
-        clock runs."""
+        """`receiver`: the address that actions are sent to; `clock_ppm`: per member, by how many parts per
+        million its lease clock runs fast."""
         self._options, self._places, self._backend = options, places, backend
         self._links, self._receiver, self._clock_ppm = links, receiver, clock_ppm
 
     def write(self, i: int) -> None:
-        """Both files of member i."""
+        """Writes both files of member i."""
         place = self._places[i]
         place.config.write_text(self._config(i))
         place.operators_file.write_text(self._coordination(i))
@@ -95,5 +95,5 @@
 
     def _peer(self, i: int, j: int) -> str:
         place, dial = self._places[j], self._links.dial(i, j)
-        dialed = "" if dial is None else f' dial: "{dial}"'
-        return f'  peer {{ name: "{place.name}" address: "{place.address}"{dialed} }}\n'
+        dial_field = "" if dial is None else f' dial: "{dial}"'
+        return f'  peer {{ name: "{place.name}" address: "{place.address}"{dial_field} }}\n'
--- a/stackrouter/fleet/options.py
+++ b/stackrouter/fleet/options.py
@@ -1,4 +1,4 @@
-"""What one run of the fault harness is made of. No I/O."""
+"""Options of one run of the fault harness. No I/O."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 @dataclass(frozen=True, slots=True)
 class HarnessOptions:
-    """`kinds`: of faults (`schedule.KINDS`), none: no faults; `seconds`: how long faults and changes come;
-    `work_ms`: between a member's look at its lease and its action; `every_ms`: from one action of a member
-    to its next; `policy`: keep a policy, change it, and note who serves under which version; `touch_ms`: how
-    long an answered heartbeat is valid; `after_ms`: from a version's commit to its activation; `load`:
-    clients that ask for this part of what the stand-in nodes bear; `fenced`: False plants a fault, the
-    receiver takes whatever comes."""
+    """`kinds`: kinds of faults to inject (`schedule.KINDS`), empty for none; `seconds`: length of the phase
+    of faults and changes; `work_ms`: delay between a member's check of its lease and its action; `every_ms`:
+    interval between a member's actions; `policy`: manage a policy, change it, and record which version each
+    member serves under; `touch_ms`: how long an answered heartbeat is valid; `after_ms`: delay from a
+    version's commit to its activation; `load`: clients request this fraction of the stand-in nodes'
+    capacity, 0 for no clients; `fenced`: False makes the receiver accept stale tokens, to test the
+    checker."""
 
     members: int = 5
     seed: int = 1
--- a/stackrouter/fleet/ports.py
+++ b/stackrouter/fleet/ports.py
@@ -8,31 +8,31 @@
 
 from stackrouter.errors import StartError
 
-FIRST_PORT, SLOT, SLOTS = 12_000, 200, 100  # 64 members take three ports each
+FIRST_PORT, PORTS_PER_RANGE, RANGES = 12_000, 200, 100  # 64 members use three ports each
 
 
 class Ports:
-    """Ports below those that the system gives to outgoing connections, for this harness alone: a member that
-    is started again finds its own free. A harness holds a run of them by listening on the first."""
+    """A range of ports below the system's ephemeral ports, reserved for this harness, so that a restarted
+    member finds its own ports free. A harness reserves a range by listening on its first port."""
 
     def __init__(self) -> None:
-        for nth in range(SLOTS):
-            first = FIRST_PORT + (os.getpid() + nth) % SLOTS * SLOT
-            self._claim = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        for i in range(RANGES):
+            first = FIRST_PORT + (os.getpid() + i) % RANGES * PORTS_PER_RANGE
+            self._reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             try:
-                self._claim.bind(("127.0.0.1", first))
-                self._claim.listen(1)
+                self._reservation.bind(("127.0.0.1", first))
+                self._reservation.listen(1)
             except OSError:
-                self._claim.close()
+                self._reservation.close()
                 continue
-            self._left = iter(range(first + 1, first + SLOT))
+            self._free = iter(range(first + 1, first + PORTS_PER_RANGE))
             return
-        raise StartError("no ports are left for another harness")
+        raise StartError("no port range is free for another harness")
 
     def take(self) -> int:
-        """A port that was not given out before."""
-        return next(self._left)
+        """The next port that has not been handed out."""
+        return next(self._free)
 
     def close(self) -> None:
-        """Let another harness have the whole run."""
-        self._claim.close()
+        """Releases the whole range for another harness."""
+        self._reservation.close()
--- a/stackrouter/fleet/proxy.py
+++ b/stackrouter/fleet/proxy.py
@@ -1,4 +1,4 @@
-"""The fault proxy: a link between two members on loopback that can be cut, slowed or made to lose pieces."""
+"""Fault-injecting TCP proxy: a link between two members that can be cut, delayed or made lossy."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-PIECE = 16_384
-RESEND_S = (0.05, 0.25)  # how late a lost piece arrives, as after a resend
-RESET_PART = 0.1  # of the lost pieces end the connection instead
+CHUNK_BYTES = 16_384
+RESEND_DELAY_S = (0.05, 0.25)  # range of the delay of a lost chunk, which stands for a retransmission
+RESET_RATIO = 0.1  # of the lost chunks: the connection is reset instead
 
 
 class Way:
-    """One direction of a link."""
+    """One direction of a link, with the faults that apply to it: `delay_s` and `loss`, a ratio of chunks."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
@@ -26,28 +26,30 @@
         self.delay_s = self.loss = 0.0
 
     def cut(self, is_cut: bool) -> None:
+        """Stops or resumes the transfer of data."""
         if is_cut:
             self._open.clear()
         else:
             self._open.set()
 
     def wait(self) -> None:
+        """Blocks while this direction is cut."""
         self._open.wait()
 
     def pass_on(self, data: bytes, send: Callable[[bytes], object]) -> None:
-        """ConnectionResetError: the link lost the connection."""
+        """Sends the data, subject to the faults. Raises ConnectionResetError if one resets the connection."""
         if self.loss and self._rng.random() < self.loss:
-            if self._rng.random() < RESET_PART:
+            if self._rng.random() < RESET_RATIO:
                 raise ConnectionResetError
-            gevent.sleep(self._rng.uniform(*RESEND_S))
+            gevent.sleep(self._rng.uniform(*RESEND_DELAY_S))
         if self.delay_s:
             gevent.sleep(self._rng.uniform(0.5, 1.5) * self.delay_s)
-        self.wait()  # bytes come in order: what is behind a cut waits for its end
+        self.wait()  # delivery is in order: data behind a cut waits for the cut to end
         send(data)
 
 
 class Link:
-    """From one member, which connects to `address`, to another, which listens on `target`."""
+    """Forwards connections from one member, which dials `address`, to another, which listens on `target`."""
 
     def __init__(self, target: tuple[str, int], rng: Random) -> None:
         self._target = target
@@ -60,7 +62,7 @@
         self._server.stop(timeout=0)
 
     def _serve(self, near: socket.socket, _: object) -> None:
-        self.there.wait()  # over a cut link no connection comes about
+        self.there.wait()  # no connection is established over a cut link
         self.back.wait()
         with contextlib.suppress(OSError), socket.create_connection(self._target, timeout=1.0) as far:
             far.settimeout(None)
@@ -68,10 +70,10 @@
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             pumps = [gevent.spawn(self._pump, near, far, self.there),
                      gevent.spawn(self._pump, far, near, self.back)]  # fmt: skip
-            gevent.joinall(pumps, count=1)  # either end's close ends both
+            gevent.joinall(pumps, count=1)  # a close by either end closes both connections
             gevent.killall(pumps)
 
     def _pump(self, source: socket.socket, sink: socket.socket, way: Way) -> None:
         with contextlib.suppress(OSError):
-            while data := source.recv(PIECE):
+            while data := source.recv(CHUNK_BYTES):
                 way.pass_on(data, sink.sendall)
--- a/stackrouter/fleet/raft_log.py
+++ b/stackrouter/fleet/raft_log.py
@@ -1,8 +1,8 @@
-"""How far a member's Raft log has got, read from the journal that the library keeps on disk.
+"""Reads the last index of a member's Raft log from the journal that the library keeps on disk.
 
-The journal is a header, then records of `size, index, term, command, size`; the header holds the offset of
-the end. The member writes it through a memory map, so that another process on the machine reads it as it
-stands; a compaction rewrites it, and is waited out.
+The journal is a header followed by records of `size, index, term, command, size`; the header holds the offset
+of the end. The member writes it through a memory map, so another process on the machine sees its current
+content. A compaction rewrites the file; the reader retries until it is complete.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 import time
 from pathlib import Path
 
-HEADER = 24 + 8 + 4  # the library's name, its version, the format: what stands before the end's offset
-EMPTY = HEADER + 4  # the end's offset in a journal without records
-TRIES, PAUSE_S = 20, 0.005
+HEADER_BYTES = 24 + 8 + 4  # library name, library version, format: the fields before the end offset
+EMPTY_END = HEADER_BYTES + 4  # end offset of a journal without records
+ATTEMPTS, RETRY_DELAY_S = 20, 0.005
 
 
 def last_index(journal: Path) -> int:
-    """The index of the last entry of this journal; 0: none could be read."""
-    for _ in range(TRIES):
+    """The index of the last entry of this journal; 0 if none could be read."""
+    for _ in range(ATTEMPTS):
         try:
             with journal.open("rb") as file:
                 index = _last_index(file.read())
@@ -26,20 +26,20 @@
             return 0
         if index:
             return index
-        time.sleep(PAUSE_S)
+        time.sleep(RETRY_DELAY_S)
     return 0
 
 
 def _last_index(data: bytes) -> int:
-    """0 where the journal is empty or just being rewritten."""
-    if len(data) < EMPTY:
+    """Parses a journal; 0 if it is empty or in the middle of a rewrite."""
+    if len(data) < EMPTY_END:
         return 0
-    end = struct.unpack_from("<I", data, HEADER)[0]
-    if end <= EMPTY or end > len(data):
+    end = struct.unpack_from("<I", data, HEADER_BYTES)[0]
+    if end <= EMPTY_END or end > len(data):
         return 0
     size = struct.unpack_from("<I", data, end - 4)[0]
     begin = end - 8 - size
-    if begin < EMPTY or size < 16:
+    if begin < EMPTY_END or size < 16:
         return 0
     if struct.unpack_from("<I", data, begin)[0] != size:
         return 0
--- a/stackrouter/fleet/receiver.py
+++ b/stackrouter/fleet/receiver.py
@@ -1,4 +1,4 @@
-"""The receiving side of the fleet's duties, where the history of a run is noted."""
+"""Receives the actions of the members' duties and records them as the history of a run."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from stackrouter.coord.fence import Fence
 from stackrouter.fleet.check import Action, Served
 
-LONGEST_LINE = 256
+MAX_LINE_CHARACTERS = 256
 
 
 class Receiver:
-    """Refuses a token lower than one it has seen, and notes every action (`coord/drill.py` sends them).
-    `fenced`: False plants a fault, it takes whatever comes."""
+    """Rejects tokens lower than one it has seen and records every action and policy sample that
+    `coord/drill.py` sends. `fenced`: False accepts any token, a deliberate fault to test the checker."""
 
     def __init__(self, fenced: bool) -> None:
         self._fence, self._fenced = Fence(), fenced
@@ -26,25 +26,25 @@
         self.address = f"127.0.0.1:{self._server.server_port}"
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stops listening."""
         self._server.stop(timeout=0)
 
     def holder(self, duty: str) -> str | None:
-        """The member whose action was the last to be taken."""
+        """The member whose action was accepted last for this duty."""
         return next((a.member for a in reversed(self.actions) if a.duty == duty and a.accepted), None)
 
-    def acted_since(self, duty: str, at: int) -> bool:
-        """Whether an action of this duty was taken after `at`, in nanoseconds of the monotonic clock."""
-        return any(a.at > at and a.accepted and a.duty == duty for a in self.actions)
+    def acted_since(self, duty: str, since_ns: int) -> bool:
+        """Whether an action of this duty was accepted after `since_ns`, a time of the monotonic clock."""
+        return any(a.received_ns > since_ns and a.accepted and a.duty == duty for a in self.actions)
 
     def _serve(self, sock: socket.socket, _: object) -> None:
         for line in sock.makefile("r", encoding="ascii", errors="replace"):
-            words = line[:LONGEST_LINE].split()
+            words = line[:MAX_LINE_CHARACTERS].split()
             if len(words) == 5 and words[0] == "serve" and words[1].isdigit() and words[3].isdigit():
                 self.served.append(Served(int(words[3]), int(words[1]), words[4], words[2]))
             elif len(words) == 4 and words[1].isdigit() and words[3].isdigit():
-                self._note_action(words[0], int(words[1]), words[2], int(words[3]))
+                self._record_action(words[0], int(words[1]), words[2], int(words[3]))
 
-    def _note_action(self, duty: str, token: int, life: str, looked_at: int) -> None:
+    def _record_action(self, duty: str, token: int, incarnation: str, checked_ns: int) -> None:
         accepted = self._fence.admit(duty, token) or not self._fenced
-        self.actions.append(Action(time.monotonic_ns(), duty, token, life, looked_at, accepted))
+        self.actions.append(Action(time.monotonic_ns(), duty, token, incarnation, checked_ns, accepted))
--- a/stackrouter/fleet/run.py
+++ b/stackrouter/fleet/run.py
@@ -1,4 +1,4 @@
-"""One run of the fault harness, from its options to its figures."""
+"""Runs the fault harness once and computes the figures of the run."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from stackrouter.fleet.harness import Harness
 from stackrouter.fleet.options import HarnessOptions
 
-SHORTEST_RUN_S = 0.1
+MIN_RUN_S = 0.1  # keeps the rate of calls finite
 
 
 def run(options: HarnessOptions, logs: Path | None, rounds: int) -> RunFigures:
-    """Play so many seeds' faults, one after the other, on the same members. `logs`: keep what the members
-    said in this folder. StartError: the members did not come up."""
+    """Runs `rounds` schedules with consecutive seeds on the same members. `logs`: a folder in which to keep
+    the members' files and logs. Raises StartError if the members do not start."""
     with tempfile.TemporaryDirectory(prefix="stackrouter-fleet-") as scratch:
         folder = Path(scratch)
         if logs is not None:
@@ -33,11 +33,11 @@
 
 
 def run_figures(harness: Harness, verdict: Verdict, rounds: int) -> RunFigures:
-    """The figures of a harness that has ended."""
+    """Computes the figures of a harness that has ended."""
     kinds = Counter(fault.kind for fault in harness.injector.faults)
     handoffs = [HandoffTime(h.kind, round(h.ms, 1), h.clean) for h in verdict.handoffs]
     cost, entries_s = harness.meter.cost, harness.log_entries_s
-    calls_s = harness.backend.discovery.calls / max(SHORTEST_RUN_S, harness.took_s)
+    calls_s = harness.backend.discovery.calls / max(MIN_RUN_S, harness.took_s)
     return RunFigures(
         members=harness.options.members,
         seed=harness.options.seed,
@@ -65,12 +65,12 @@
 
 
 def _requests(harness: Harness) -> dict[str, float]:
-    """What the clients were told; `slowest_ms` of the last 500 answers of each volume."""
+    """The clients' responses by verdict; `slowest_ms` covers the last 500 responses of each volume."""
     if harness.backend.clients is None:
         return {}
-    told = list(harness.backend.clients.told.values())
-    verdicts = sum((t.verdicts for t in told), Counter[str]())
-    slowest_s = max(max(t.recent, default=0.0) for t in told)
+    results = list(harness.backend.clients.told.values())
+    verdicts = sum((result.verdicts for result in results), Counter[str]())
+    slowest_s = max(max(result.recent, default=0.0) for result in results)
     return dict(verdicts) | {"slowest_ms": round(1000 * slowest_s, 1)}
 
 
--- a/stackrouter/fleet/sweep.py
+++ b/stackrouter/fleet/sweep.py
@@ -1,4 +1,4 @@
-"""Many seeds, each in a process of its own."""
+"""Runs the fault harness for many seeds, each in its own process."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 from stackrouter.fleet.figures import RunFigures, SweepFigures
 
-BAD_INPUT = 2  # the exit code of a run that could not be made (cli.shared)
+BAD_INPUT = 2  # exit code of a run that could not be started (cli.shared)
 
 
 @dataclass(frozen=True, slots=True)
 class SeedEnd:
-    """How the process of one seed ended: its figures, or why it gave none."""
+    """How the process of one seed ended: its figures, or the reason why it gave none."""
 
     seed: int
     figures: RunFigures | None
@@ -25,8 +25,8 @@
 
 def sweep(options: Sequence[str], members: str, seeds: Sequence[int], parallel: int, keeps_policy: bool,
           progress: Callable[[int], None]) -> SweepFigures:  # fmt: skip
-    """`fleet run` with these options for each seed, `parallel` at a time. `progress` is told how many have
-    ended."""
+    """Runs `fleet run` with these options for each seed, `parallel` at a time. `progress` is called with the
+    number of runs that have ended."""
     total = SweepFigures(members, seeds[0], len(seeds), keeps_policy)
     with ThreadPoolExecutor(max_workers=parallel) as pool:
         ends = [pool.submit(run_seed, options, seed) for seed in seeds]
@@ -41,19 +41,19 @@
 
 
 def run_seed(options: Sequence[str], seed: int) -> SeedEnd:
-    """One seed's run, to its end."""
+    """Runs one seed and waits for it to end."""
     command = [sys.executable, "-m", "stackrouter.cli.main", "fleet", "run", "--json", *options]
-    # Its output is read while it runs: a pipe that nobody reads would hold up a run that has much to say.
-    done = subprocess.run([*command, "--seed", str(seed)], text=True, capture_output=True, check=False)
-    return read_end(seed, done.returncode, done.stdout, done.stderr)
+    # The output is read while the process runs: a full pipe would block a run with much output.
+    completed = subprocess.run([*command, "--seed", str(seed)], text=True, capture_output=True, check=False)
+    return read_end(seed, completed.returncode, completed.stdout, completed.stderr)
 
 
-def read_end(seed: int, code: int, told: str, said: str) -> SeedEnd:
-    """What the process of a seed left: exit code, standard output, standard error."""
-    lines = said.strip().splitlines()
-    if code == BAD_INPUT or not told.strip():
+def read_end(seed: int, code: int, output: str, errors: str) -> SeedEnd:
+    """Interprets the exit code, standard output and standard error of the process of one seed."""
+    lines = errors.strip().splitlines()
+    if code == BAD_INPUT or not output.strip():
         return SeedEnd(seed, None, lines[-1] if lines else "ended")
     try:
-        return SeedEnd(seed, RunFigures.from_json(json.loads(told)))
+        return SeedEnd(seed, RunFigures.from_json(json.loads(output)))
     except (ValueError, KeyError, TypeError) as error:
         return SeedEnd(seed, None, f"ended with code {code} and no figures: {error!r}")
