--- a/stackrouter/soak/__init__.py
+++ b/stackrouter/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Real gateways on loopback under random, overlapping faults, judged by what others saw of them."""
+"""Soak test: real gateways on loopback under random, overlapping faults, checked by their peers' records."""
--- a/stackrouter/soak/agents.py
+++ b/stackrouter/soak/agents.py
@@ -1,4 +1,4 @@
-"""Agents of discovery on loopback, one for each gateway: lists reach them late and at times not at all."""
+"""Stand-in discovery agents on loopback, one per gateway, that deliver lists late or not at all."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from stackrouter.soak.records import Notice, Records
 
 Entry = dict[str, Any]
-AFTER_HUP_S: Final = 4.0  # what an agent that a SIGHUP names has counts as told so much later
-TOLD_S: Final = 6.0  # what a slow agent has counts as told so much later, heard or not
-SLOW_S: Final = (0.1, 1.5)  # what a slow agent takes for an answer
+AFTER_HUP_S: Final = 4.0  # notices count this much later at an agent that a SIGHUP has just moved
+SLOW_NOTICE_S: Final = 6.0  # notices of a slow agent count this much later, delivered or not
+SLOW_RESPONSE_S: Final = (0.1, 1.5)  # response time range of a slow agent
 FOREVER: Final = float("inf")
 
 
 class Agent:
-    """What one gateway's machine has been sent of the list."""
+    """The discovery agent on one gateway's machine, with the part of the list that has reached it."""
 
     def __init__(self, gateway: int, entries: dict[str, Entry], records: Records, seed: int) -> None:
         self.gateway, self.records = gateway, records
@@ -33,10 +33,12 @@
         self._version = 1
         self._changed: dict[str, int] = {}
         self._silent_until = self._slow_until = 0.0
-        self._late: list[tuple[str, Entry]] = []  # changes that wait for the end of a silence
-        self._news = Event()
-        self._watch_lost = False  # a watch that was open has fallen silent, and no call has come since
-        self._binds_from = 0.0  # notices before this count from then on: a new process, or a SIGHUP
+        self._deferred: list[tuple[str, Entry]] = []  # changes deferred until a silence ends
+        self._changed_event = Event()
+        self._watch_lost = False  # an open watch went unanswered, and no call has come since
+        self._notified_from = (
+            0.0  # notices count from this time at the earliest, set by a new process or SIGHUP
+        )
         self._servers = [self._listen()]
 
     @property
@@ -49,23 +51,23 @@
         return server
 
     def listing(self) -> dict[str, Any]:
-        """The whole list as the agent has it."""
+        """The whole list as the agent currently holds it."""
         up = [entry for entry in self._entries.values() if entry["status"] != "removed"]
         return {"index": self._version, "snapshot": True, "endpoints": up}
 
-    # --- what happens to it
+    # --- changes and faults
 
     def push(self, name: str, entry: Entry) -> None:
-        """The agent is sent a change; while it is silent it learns nothing."""
+        """Delivers a change to the agent; during a silence it is deferred until the silence ends."""
         if time.monotonic() < self._silent_until:
-            self._late.append((name, entry))
+            self._deferred.append((name, entry))
             return
         self._entries[name] = entry
         self._version += 1
         self._changed[name] = self._version
         self._note(name, entry)
-        self._news.set()
-        self._news = Event()
+        self._changed_event.set()
+        self._changed_event = Event()
 
     def _note(self, name: str, entry: Entry) -> None:
         notices = self.records.notices.setdefault(self.gateway, [])
@@ -76,55 +78,58 @@
                 for n in notices
             ]
             return
-        # The last answer of a slow time may be under way; that a watch is silent shows only later.
-        late_by_s = TOLD_S if now < self._slow_until + SLOW_S[1] or self._watch_lost else 0.0
-        had_at = max(now, self._binds_from)
-        notices.append(Notice(name, entry["address"], had_at, FOREVER, late_by_s))
+        # The last slow response may still be in flight, and the gateway detects a silent watch only later.
+        late_by_s = SLOW_NOTICE_S if now < self._slow_until + SLOW_RESPONSE_S[1] or self._watch_lost else 0.0
+        notified_at = max(now, self._notified_from)
+        notices.append(Notice(name, entry["address"], notified_at, FOREVER, late_by_s))
 
-    def silence(self, length_s: float) -> None:
-        """Answer nothing; calls made meanwhile are never answered."""
+    def silence(self, duration_s: float) -> None:
+        """Stops answering for a while; calls made in that time are never answered."""
         was_silent = time.monotonic() < self._silent_until
-        self._silent_until = max(self._silent_until, time.monotonic() + length_s)
+        self._silent_until = max(self._silent_until, time.monotonic() + duration_s)
         if not was_silent:
-            gevent.spawn(self._return)
+            gevent.spawn(self._end_silence)
 
-    def _return(self) -> None:
+    def _end_silence(self) -> None:
         while (left_s := self._silent_until - time.monotonic()) > 0:
             gevent.sleep(left_s)
-        late, self._late = self._late, []
-        for name, entry in late:
+        deferred, self._deferred = self._deferred, []
+        for name, entry in deferred:
             self.push(name, entry)
 
-    def slow(self, length_s: float) -> None:
-        """Take a while for each answer. What is told shortly before and meanwhile counts 6 s later."""
+    def slow(self, duration_s: float) -> None:
+        """Delays each response for a while. Notices from the last 6 s, and new ones, count 6 s later."""
         now = time.monotonic()
-        self._slow_until = max(self._slow_until, now + length_s)
+        self._slow_until = max(self._slow_until, now + duration_s)
         notices = self.records.notices.setdefault(self.gateway, [])
-        notices[:] = [replace(n, late_by_s=TOLD_S) if now - n.had_at < TOLD_S else n for n in notices]
+        notices[:] = [
+            replace(n, late_by_s=SLOW_NOTICE_S) if now - n.notified_at < SLOW_NOTICE_S else n for n in notices
+        ]
 
-    def other_history(self) -> None:
-        """Another copy takes over, and counts from elsewhere."""
+    def renumber(self) -> None:
+        """Another discovery replica takes over, with an unrelated version number."""
         self._version = self._rng.choice((1, 3, self._version + 1000))
         self._changed = {}
-        self._news.set()
-        self._news = Event()
+        self._changed_event.set()
+        self._changed_event = Event()
 
     def process_started(self) -> None:
-        """A new process of the gateway: what the agent has counts from its first moment on."""
-        self._bind_from(time.monotonic())
+        """The gateway's process was restarted: the agent's notices count from its start."""
+        self._count_from(time.monotonic())
 
     def move(self) -> None:
-        """It listens elsewhere; the old place falls silent. Returns before the gateway is told."""
+        """Listens on a new address and closes the old one. The caller then notifies the gateway."""
         for server in self._servers:
             server.stop(timeout=0)
         self._servers = [self._listen()]
-        self._bind_from(time.monotonic() + AFTER_HUP_S)
+        self._count_from(time.monotonic() + AFTER_HUP_S)
 
-    def _bind_from(self, at: float) -> None:
-        self._binds_from = at
+    def _count_from(self, at: float) -> None:
+        """Notices that still apply count from this time at the earliest."""
+        self._notified_from = at
         notices = self.records.notices.setdefault(self.gateway, [])
         now = time.monotonic()
-        notices[:] = [replace(n, had_at=max(n.had_at, at)) if n.until > now else n for n in notices]
+        notices[:] = [replace(n, notified_at=max(n.notified_at, at)) if n.until > now else n for n in notices]
 
     def stop(self) -> None:
         for server in self._servers:
@@ -135,8 +140,8 @@
     def _serve(self, sock: socket.socket, _: object) -> None:
         try:
             data = b""
-            while piece := sock.recv(65536):
-                data += piece
+            while chunk := sock.recv(65536):
+                data += chunk
                 if b"\r\n\r\n" not in data:
                     continue
                 path = data.split(b" ", 2)[1].decode()
@@ -151,16 +156,16 @@
 
     def _answer(self, sock: socket.socket, path: str) -> bool:
         query = parse_qs(urlparse(path).query)
-        began = time.monotonic()
-        if began < self._silent_until:
+        began_at = time.monotonic()
+        if began_at < self._silent_until:
             return False
         self._watch_lost = False
         index = int(query["index"][0]) if "index" in query else None
-        until = began + int(query.get("wait", ["0"])[0]) / 1000
-        while index == self._version and (left_s := until - time.monotonic()) > 0:
-            self._news.wait(left_s)
+        deadline = began_at + int(query.get("wait", ["0"])[0]) / 1000
+        while index == self._version and (left_s := deadline - time.monotonic()) > 0:
+            self._changed_event.wait(left_s)
         if time.monotonic() < self._slow_until:
-            gevent.sleep(self._rng.uniform(*SLOW_S))
+            gevent.sleep(self._rng.uniform(*SLOW_RESPONSE_S))
         if time.monotonic() < self._silent_until:
             self._watch_lost = True
             return False
@@ -171,6 +176,6 @@
     def _since(self, index: int | None) -> dict[str, Any]:
         oldest = min(self._changed.values(), default=self._version)
         if index is None or not oldest - 1 <= index <= self._version:
-            return self.listing()  # what has changed since then is not known here
+            return self.listing()  # the changes since that version are not known here
         changed = [self._entries[name] for name, at in self._changed.items() if at > index]
         return {"index": self._version, "snapshot": False, "endpoints": changed}
--- a/stackrouter/soak/gateway_process.py
+++ b/stackrouter/soak/gateway_process.py
@@ -1,7 +1,8 @@
-"""A gateway whose system calls fail at times and whose wall clock is off: the program under a shim.
+"""Runs the gateway program with randomly failing socket calls and a shifted wall clock.
 
-Run as `python -m stackrouter.soak.gateway_process`; SOAK_FAULTS holds `schedule.ProcessFaults` as JSON, and
-SOAK_PLANTED names a rule whose guard is taken out, so that a test can see the soak find what follows.
+Run as `python -m stackrouter.soak.gateway_process`. SOAK_FAULTS holds `schedule.ProcessFaults` as JSON.
+SOAK_PLANTED names a rule whose enforcement is disabled, so that a test can verify that the soak detects the
+violations.
 """
 
 from __future__ import annotations
@@ -21,14 +22,16 @@
 from rackseam.interface import Effect, ListKind
 from stackrouter import config as configuration
 
-_PASSING = (errno.EINTR, errno.ENOBUFS, errno.ENOMEM)
-_ACCEPT = (errno.ECONNABORTED, errno.EINTR, errno.EPROTO, errno.ENFILE, errno.ENOBUFS, errno.ENETDOWN)
-_CONNECT = (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENETUNREACH, errno.EINTR, errno.EAGAIN)
+_TRANSIENT_ERRORS = (errno.EINTR, errno.ENOBUFS, errno.ENOMEM)
+_ACCEPT_ERRORS = (errno.ECONNABORTED, errno.EINTR, errno.EPROTO, errno.ENFILE, errno.ENOBUFS, errno.ENETDOWN)
+_CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENETUNREACH, errno.EINTR, errno.EAGAIN)
 _SOCKET = (errno.ENFILE, errno.ENOBUFS)
-SHORT_BYTES = 7  # what a short read or write transfers
+SHORT_BYTES = 7  # bytes that a short read or write transfers
 
 
-class _Chance:
+class _RandomFaults:
+    """Decides at random which calls fail or are short; `share` is the ratio of each."""
+
     rng = random.Random()
     share = 0.0
 
@@ -44,29 +47,29 @@
 
 
 def _wrap_sockets(base: Any) -> None:
-    """Replace the calls of gevent's socket type with ones that fail or are short by chance."""
+    """Patches gevent's socket type so that its calls fail or transfer few bytes at random."""
     accept, connect, send = base.accept, base.connect, base.send
     receive, receive_bytes = base.recv_into, base.recv
 
     def failing_accept(self: Any) -> Any:
-        _Chance.fail(_ACCEPT)
+        _RandomFaults.fail(_ACCEPT_ERRORS)
         return accept(self)
 
     def failing_connect(self: Any, address: Any) -> Any:
-        _Chance.fail(_CONNECT)
+        _RandomFaults.fail(_CONNECT_ERRORS)
         return connect(self, address)
 
     def failing_send(self: Any, data: Any, *rest: Any, **named: Any) -> int:
-        _Chance.fail(_PASSING)
-        return int(send(self, data[:SHORT_BYTES] if _Chance.short() else data, *rest, **named))
+        _RandomFaults.fail(_TRANSIENT_ERRORS)
+        return int(send(self, data[:SHORT_BYTES] if _RandomFaults.short() else data, *rest, **named))
 
     def failing_receive(self: Any, buffer: Any, *rest: Any) -> int:
-        _Chance.fail(_PASSING)
-        return int(receive(self, buffer[:SHORT_BYTES] if _Chance.short() else buffer, *rest))
+        _RandomFaults.fail(_TRANSIENT_ERRORS)
+        return int(receive(self, buffer[:SHORT_BYTES] if _RandomFaults.short() else buffer, *rest))
 
     def failing_receive_bytes(self: Any, size: int, *rest: Any) -> bytes:
-        _Chance.fail(_PASSING)
-        return bytes(receive_bytes(self, SHORT_BYTES if _Chance.short() else size, *rest))
+        _RandomFaults.fail(_TRANSIENT_ERRORS)
+        return bytes(receive_bytes(self, SHORT_BYTES if _RandomFaults.short() else size, *rest))
 
     base.accept, base.connect, base.send = failing_accept, failing_connect, failing_send
     base.recv_into, base.recv = failing_receive, failing_receive_bytes
@@ -79,20 +82,20 @@
 
 
 def _delay_attempts() -> None:
-    """Each attempt waits for 0.25 s, as for a connection that comes up late."""
+    """Delays each attempt by 0.25 s, as if its connection were slow to open."""
     from stackrouter.net.pool import Pool
 
     exchange = Pool._exchange
 
-    def late(self: Any, attempt: Any) -> Any:
+    def delayed(self: Any, attempt: Any) -> Any:
         gevent.sleep(0.25)
         return exchange(self, attempt)
 
-    Pool._exchange = late  # type: ignore[method-assign]
+    Pool._exchange = delayed  # type: ignore[method-assign]
 
 
 def _plant(rule: str) -> None:
-    """Take the guard of a rule out."""
+    """Disables the enforcement of a rule."""
     from stackrouter.core.gate import Gate
     from stackrouter.net.discovery import Discovery
     from stackrouter.net.list_taker import ListTaker
@@ -120,7 +123,7 @@
         answer = Engine._answer
 
         def forget_some(self: Any, request: Any, result: Any) -> None:
-            """One request in ten gets no answer."""
+            """Leaves out the answer of every request whose id ends in 7."""
             request.answered = request.answered or request.id.endswith("7")
             answer(self, request, result)
 
@@ -133,7 +136,7 @@
         settings_of = configuration.settings_of  # type: ignore[attr-defined]
 
         def all_safe(*args: Any) -> Any:
-            """As if no class minded to run twice."""
+            """Declares every request class safe to repeat."""
             settings = settings_of(*args)
             return replace(settings, classes=tuple(replace(c, effect=Effect.SAFE) for c in settings.classes))
 
@@ -141,9 +144,9 @@
 
 
 def main() -> int:
-    """The program, with what SOAK_FAULTS says."""
+    """Runs the program with the faults in SOAK_FAULTS."""
     faults = json.loads(os.environ["SOAK_FAULTS"])
-    _Chance.rng, _Chance.share = random.Random(faults["seed"]), faults["failing_share"]
+    _RandomFaults.rng, _RandomFaults.share = random.Random(faults["seed"]), faults["failing_share"]
     if faults["failing_share"]:
         _wrap_sockets(gevent.socket.socket)
     if faults["wall_step_s"]:
--- a/stackrouter/soak/nodes.py
+++ b/stackrouter/soak/nodes.py
@@ -1,4 +1,4 @@
-"""Storage nodes on loopback that note what reaches them, and hang, reset or move as they are told."""
+"""Stand-in storage nodes on loopback that record arriving attempts, and hang, reset or move on demand."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 SERVICE_S: Final = (0.001, 0.02)
 HANG_STEP_S: Final = 0.02
-_RESET: Final = struct.pack("ii", 1, 0)
+_LINGER_RESET: Final = struct.pack("ii", 1, 0)  # SO_LINGER with a zero timeout: close sends RST
 
 
 class SoakNode:
-    """One storage node: where it listens changes when it comes back after it was removed."""
+    """One storage node. Its address changes when it returns after a removal."""
 
     def __init__(self, name: str, shard: int, records: Records, seed: int) -> None:
         self.name, self.shard, self.records = name, shard, records
         self.since_ms = 0
         self._rng = random.Random(f"{seed} {name}")
-        self._hangs_until = 0.0
-        self._busy = False  # answers -BUSY, as a node that drains
-        self._sockets: dict[socket.socket, Arrival | None] = {}  # with the attempt that is out on it
-        self._former: list[StreamServer] = []
+        self._hang_until = 0.0
+        self._busy = False  # answers -BUSY, like a draining node
+        self._sockets: dict[socket.socket, Arrival | None] = {}  # with the attempt in progress on it
+        self._former_servers: list[StreamServer] = []
         self._server = self._listen()
 
     @property
@@ -42,31 +42,31 @@
         return server
 
     def drain(self) -> None:
-        """Finishes what it has and turns new work away."""
+        """Finishes the attempts in progress and rejects new ones."""
         self._busy = True
 
-    def come_back(self) -> None:
-        """As a new process under the same name, elsewhere. The old address goes on noting what comes."""
+    def restart_elsewhere(self) -> None:
+        """Simulates a new process of the same name at a new address. The old one still records arrivals."""
         self._busy = False
-        self._former.append(self._server)
+        self._former_servers.append(self._server)
         self._server = self._listen()
         self.since_ms = int(time.time() * 1000)
 
-    def hang(self, length_s: float) -> None:
-        """Swallow what comes, and answer nothing, for a while."""
-        self._hangs_until = time.monotonic() + length_s
+    def hang(self, duration_s: float) -> None:
+        """Accepts requests without answering for a while."""
+        self._hang_until = time.monotonic() + duration_s
 
     def reset(self) -> None:
-        """Reset all connections, also under requests."""
+        """Resets all connections, including those with an attempt in progress."""
         for sock, arrival in list(self._sockets.items()):
             if arrival is not None:
                 arrival.ended_at = time.monotonic()
             with contextlib.suppress(OSError):
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
                 sock.close()
 
     def stop(self) -> None:
-        for server in (self._server, *self._former):
+        for server in (self._server, *self._former_servers):
             server.stop(timeout=0)
         for sock in list(self._sockets):
             sock.close()
@@ -78,14 +78,14 @@
         try:
             data = b""
             first_at = 0.0
-            while piece := sock.recv(65536):
+            while chunk := sock.recv(65536):
                 first_at = first_at if data else time.monotonic()
-                data += piece
+                data += chunk
                 words, rest = split_command(data)
                 if words is None:
                     continue
                 data = rest
-                arrival = self._arrived(sock, words, address, first_at)
+                arrival = self._record_arrival(sock, words, address, first_at)
                 self._sockets[sock] = arrival
                 if arrival is not None and self._answer(sock, words, arrival):
                     arrival = self._sockets[sock] = None
@@ -97,32 +97,34 @@
             self._sockets.pop(sock, None)
             sock.close()
 
-    def _arrived(
+    def _record_arrival(
         self, sock: socket.socket, words: list[bytes], address: str, first_at: float
     ) -> Arrival | None:
         request = self.records.requests.get(words[2].decode())
         if request is None:
             return None
         fields = dict(pair.split("=", 1) for pair in words[3].decode().split(","))
-        told_s = int(fields["d"]) / 1000
-        arrival = Arrival(self.name, address, first_at, time.monotonic(), told_s, lambda: not _ended(sock))
+        remaining_s = int(fields["d"]) / 1000
+        arrival = Arrival(
+            self.name, address, first_at, time.monotonic(), remaining_s, lambda: not _peer_closed(sock)
+        )
         for earlier in request.arrivals:
             if earlier.ended_at is None and earlier.is_open():
-                arrival.beside = earlier.node
+                arrival.concurrent_with = earlier.node
         request.arrivals.append(arrival)
         return arrival
 
     def _answer(self, sock: socket.socket, words: list[bytes], arrival: Arrival) -> bool:
-        """Whether the attempt has ended; its connection can carry another."""
+        """Answers an attempt. Returns whether it has ended, so that its connection can carry another."""
         if self._busy or sock.getsockname()[1] != self._server.server_port:
             sock.sendall(b"-BUSY\r\n")
             arrival.ended_at = time.monotonic()
             return True
         arrival.ran = True
         gevent.sleep(self._rng.uniform(*SERVICE_S))
-        while time.monotonic() < self._hangs_until:
+        while time.monotonic() < self._hang_until:
             gevent.sleep(HANG_STEP_S)
-            if _ended(sock):
+            if _peer_closed(sock):
                 arrival.ended_at = time.monotonic()
                 return True
         value = b"v" + words[1]
@@ -131,8 +133,8 @@
         return True
 
 
-def _ended(sock: socket.socket) -> bool:
-    """Its other end has closed, as far as that can be seen without waiting."""
+def _peer_closed(sock: socket.socket) -> bool:
+    """Whether the peer has closed the connection, as far as a non-blocking read shows."""
     if sock.fileno() < 0:
         return True
     sock.settimeout(0.0)
@@ -147,7 +149,7 @@
 
 
 def split_command(data: bytes) -> tuple[list[bytes] | None, bytes]:
-    """The first whole command's words and what follows it; None: it is not whole yet."""
+    """The words of the first command and the bytes after it; None if the command is incomplete."""
     head, found, rest = data.partition(b"\r\n")
     if not found:
         return None, data
--- a/stackrouter/soak/options.py
+++ b/stackrouter/soak/options.py
@@ -1,4 +1,4 @@
-"""What a soak plays."""
+"""Options of a soak and the kinds of faults. No I/O."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 from typing import Final
 
 KINDS: Final = (
-    "syscalls",  # system calls on sockets fail in passing, reads and writes are short
+    "syscalls",  # socket system calls fail transiently, reads and writes are short
     "holds",  # a gateway is stopped for up to 140 ms (SIGSTOP, SIGCONT)
-    "clock",  # a gateway starts with its wall clock up to an hour off
-    "drains",  # nodes drain, are removed and come back cold under their name elsewhere
-    "hangs",  # nodes swallow what they get for a while
-    "resets",  # nodes reset or forget connections
-    "silence",  # an agent of discovery answers nothing for a while
-    "slowness",  # an agent takes 0.1 to 1.5 s for each answer
-    "history",  # another copy of discovery takes over and numbers its lists anew
-    "term",  # SIGTERM, the earliest SIGKILL, a new process
-    "kill",  # SIGKILL, a new process
-    "hup",  # SIGHUPs in a row; discovery moves with each
-    "leavers",  # clients leave early, also in a burst
-    "halves",  # clients stop in the middle of a request and stay
+    "clock",  # a gateway starts with its wall clock off by up to an hour
+    "drains",  # nodes drain, are removed and return cold, with the same name and a new address
+    "hangs",  # nodes accept requests without answering for a while
+    "resets",  # nodes reset their connections
+    "silence",  # a discovery agent does not respond for a while
+    "slowness",  # a discovery agent takes 0.1 to 1.5 s for each response
+    "history",  # another discovery replica takes over, with unrelated list versions
+    "term",  # SIGTERM, SIGKILL at the earliest permitted time, then a restart
+    "kill",  # SIGKILL, then a restart
+    "hup",  # consecutive SIGHUPs; the discovery address changes with each
+    "leavers",  # clients disconnect early, also in bursts
+    "halves",  # clients stall in the middle of a request and stay connected
 )
 
 
 @dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """`seconds`: how long faults and requests come. `planted`: a rule whose guard is out, for tests."""
+    """`seconds`: duration of faults and requests. `planted`: a rule whose enforcement a test disables."""
 
     gateways: int = 24
     nodes: int = 60
--- a/stackrouter/soak/processes.py
+++ b/stackrouter/soak/processes.py
@@ -1,4 +1,4 @@
-"""The gateways of a soak as processes: started, stopped, killed and started again."""
+"""Starts, stops, kills and restarts the gateway processes of a soak."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import os
 import random
 import signal
-import socket as plain
+import socket as std_socket
 import subprocess
 import sys
 import time
@@ -26,14 +26,14 @@
 from stackrouter.soak.schedule import process_faults
 
 POLL_S: Final = 0.01
-READY_MOST_S: Final = 30.0
-KILL_AFTER_S: Final = max(c.deadline_s for c in CLASSES) + 0.7  # after SIGTERM, the earliest that is allowed
-PORTS: Final = (12_000, 30_000)  # below those that the system hands out
-KEY_WINDOW_S: Final = 0.8
+READY_TIMEOUT_S: Final = 30.0
+KILL_AFTER_S: Final = max(c.deadline_s for c in CLASSES) + 0.7  # earliest permitted SIGKILL after SIGTERM
+PORTS: Final = (12_000, 30_000)  # below the system's ephemeral ports
+KEY_WINDOW_S: Final = 0.8  # how long the key of a keyed request is valid
 
 
 def settings(options: SoakOptions) -> dict[str, Any]:
-    """The platform's settings, in its own words."""
+    """The platform settings of the gateways."""
     effects = {"match-read": "safe", "turn-write": "keyed", "turn-add": "unsafe"}
     profiles = [
         {"Name": c.name, "Effect": effects[c.name], "AimUs": 400_000,
@@ -58,58 +58,58 @@
 
 
 def repeat_windows_s() -> dict[str, float | None]:
-    """By class, for how long a repeat may follow an attempt that may have run; None: for ever."""
+    """By class, how long a repeat may follow an attempt that may have run; None: without limit."""
     return {"match-read": None, "turn-write": KEY_WINDOW_S, "turn-add": 0.0}
 
 
-def reserve_address() -> plain.socket:
-    """A socket that holds a port for as long as it is open: outside of those that the system hands out to
-    connections, and free for a process to listen at that allows the address to be used again."""
+def reserve_address() -> std_socket.socket:
+    """Binds a socket that reserves a port while it is open. The port is outside the ephemeral range, and a
+    process that sets SO_REUSEADDR can listen on it. Raises StartError if no port is free."""
     for port in random.sample(range(*PORTS), len(range(*PORTS))):
-        sock = plain.socket()
+        sock = std_socket.socket()
         try:
-            sock.bind(("127.0.0.1", port))  # fails where another holds it, as another soak would
+            sock.bind(("127.0.0.1", port))  # fails if the port is in use, for example by another soak
         except OSError:
             sock.close()
             continue
-        sock.setsockopt(plain.SOL_SOCKET, plain.SO_REUSEADDR, 1)  # from here on the gateway may listen there
+        sock.setsockopt(std_socket.SOL_SOCKET, std_socket.SO_REUSEADDR, 1)  # the gateway may now listen
         return sock
     raise StartError("no port is free for a gateway")
 
 
 class SoakGateway:
-    """One gateway: its process, its agent and its clients."""
+    """One gateway with its process, discovery agent and clients."""
 
     def __init__(
         self, number: int, options: SoakOptions, agent: Agent, records: Records, folder: Path
     ) -> None:
         self.number, self.options, self.agent, self.records = number, options, agent, records
         self.folder = folder
-        self._reserved = reserve_address()
-        self.state = GatewayState(self._reserved.getsockname())
+        self._port_reservation = reserve_address()
+        self.state = GatewayState(self._port_reservation.getsockname())
         self.clients: GatewayClients | None = None
         self.crashes: list[str] = []
         self.restarts = self.not_ready_10s = 0
         self._program: subprocess.Popen[bytes] | None = None
         self._lives = records.lives.setdefault(number, [])
-        self._busy = False  # a restart is under way
+        self._restarting = False  # a restart is in progress
 
     @property
     def log(self) -> Path:
         return self.folder / f"g{self.number}.log"
 
     def start(self) -> None:
-        """A new process with the list that the agent has now; it is not ready yet."""
+        """Starts a new process, configured with the agent's current list; it is not ready on return."""
         self._write_config(known=self.agent.listing())
         faults = process_faults(self.options, self.number, len(self._lives))
-        environ = {k: v for k, v in os.environ.items() if not k.startswith(("GW_", "SOAK_"))}
-        environ |= {"GW_CONFIG": str(self.folder / f"g{self.number}.json"),
+        environment = {k: v for k, v in os.environ.items() if not k.startswith(("GW_", "SOAK_"))}
+        environment |= {"GW_CONFIG": str(self.folder / f"g{self.number}.json"),
                     "SOAK_FAULTS": json.dumps(asdict(faults)),
                     "SOAK_PLANTED": self.options.planted}  # fmt: skip
         with self.log.open("ab") as log:
             command = [sys.executable, "-m", "stackrouter.soak.gateway_process"]
             self._program = subprocess.Popen(
-                command, env=environ, stdout=log, stderr=log, start_new_session=True
+                command, env=environment, stdout=log, stderr=log, start_new_session=True
             )
         self.agent.process_started()
         self._lives.append(Life(time.monotonic()))
@@ -126,23 +126,23 @@
         config["discovery"] = self.agent.address
         if known is not None:
             config["known"] = known
-        whole = path.with_suffix(".new")
-        whole.write_text(json.dumps(config))
-        whole.rename(path)
+        complete = path.with_suffix(".new")
+        complete.write_text(json.dumps(config))
+        complete.rename(path)
 
     def await_ready(self) -> bool:
-        """Until PING is answered. False: not within `READY_MOST_S`."""
+        """Waits until PING is answered. Returns False if the process ended or READY_TIMEOUT_S passed."""
         began = time.monotonic()
-        while time.monotonic() - began < READY_MOST_S:
+        while time.monotonic() - began < READY_TIMEOUT_S:
             if self._answers_ping():
                 self._lives[-1] = replace(self._lives[-1], ready_at=time.monotonic())
                 self.state.ready = True
                 self.not_ready_10s += time.monotonic() - began > 10.0
                 return True
-            if self._look_for_crash():
+            if self._check_for_crash():
                 return False
             gevent.sleep(POLL_S)
-        self.crashes.append(f"g{self.number}: not ready within {READY_MOST_S:.0f} s")
+        self.crashes.append(f"g{self.number}: not ready within {READY_TIMEOUT_S:.0f} s")
         return False
 
     def _answers_ping(self) -> bool:
@@ -153,10 +153,12 @@
         except OSError:
             return False
 
-    def _look_for_crash(self) -> bool:
+    def _check_for_crash(self) -> bool:
         if self._program is None or self._program.poll() is None:
             return False
-        self.crashes.append(f"g{self.number}: ended with {self._program.returncode}: {self._last_line()}")
+        self.crashes.append(
+            f"g{self.number}: exited with code {self._program.returncode}: {self._last_line()}"
+        )
         return True
 
     def _last_line(self) -> str:
@@ -165,19 +167,19 @@
 
     # --- faults
 
-    def hold(self, length_s: float) -> None:
-        """The process stands still for a moment."""
+    def pause(self, duration_s: float) -> None:
+        """Pauses the process with SIGSTOP and SIGCONT."""
         program = self._program
-        if program is None or self._busy or program.poll() is not None:
+        if program is None or self._restarting or program.poll() is not None:
             return
         program.send_signal(signal.SIGSTOP)
-        gevent.sleep(length_s)
+        gevent.sleep(duration_s)
         program.send_signal(signal.SIGCONT)
 
-    def hang_up(self, times: int) -> None:
-        """SIGHUPs in a row, each with another place of discovery."""
+    def send_hups(self, times: int) -> None:
+        """Sends consecutive SIGHUPs, each with a new discovery address in the configuration."""
         for _ in range(times):
-            if self._busy or self._program is None or not self.state.ready:
+            if self._restarting or self._program is None or not self.state.ready:
                 return
             self.agent.move()
             self._write_config()
@@ -185,11 +187,11 @@
             gevent.sleep(0.2)
 
     def restart(self, down_s: float, by_term: bool) -> None:
-        """End the process, by SIGTERM or at once, and start it again."""
+        """Ends the process, by SIGTERM or SIGKILL, and starts it again after `down_s`."""
         program = self._program
-        if self._busy or program is None or not self.state.ready:
+        if self._restarting or program is None or not self.state.ready:
             return
-        self._busy = True
+        self._restarting = True
         if by_term:
             self._terminate(program)
         else:
@@ -202,7 +204,7 @@
         self.start()
         self.restarts += 1
         self.await_ready()
-        self._busy = False
+        self._restarting = False
 
     def _kill(self, program: subprocess.Popen[bytes]) -> None:
         self.state.killed_at = time.monotonic()
@@ -222,23 +224,23 @@
         self._lives[-1] = replace(self._lives[-1], ended_at=time.monotonic())
         if program.returncode != 0:
             self.crashes.append(
-                f"g{self.number}: SIGTERM ended with {program.returncode}: {self._last_line()}"
+                f"g{self.number}: exited with code {program.returncode} after SIGTERM: {self._last_line()}"
             )
 
     def stop(self) -> None:
-        """At the end of the run."""
-        while self._busy:  # it is being started again
+        """Ends the process at the end of the run and releases its port."""
+        while self._restarting:  # wait for a restart in progress
             gevent.sleep(POLL_S)
         program = self._program
         if program is not None and program.poll() is None:
             program.send_signal(signal.SIGCONT)
             self._terminate(program)
         elif program is not None:
-            self._look_for_crash()
-        self._reserved.close()
+            self._check_for_crash()
+        self._port_reservation.close()
 
     def counted(self) -> Counter[str]:
-        """Rules that the gateway's processes counted as broken, from the counters that they printed."""
+        """Rule violations that the gateway counted itself, from the counters that its processes printed."""
         found: Counter[str] = Counter()
         for line in self.log.read_text(errors="replace").splitlines():
             if line.startswith("{"):
--- a/stackrouter/soak/records.py
+++ b/stackrouter/soak/records.py
@@ -1,4 +1,4 @@
-"""What clients, nodes and discovery saw: what a soak is judged by. Times are monotonic seconds."""
+"""Records of clients, nodes and agents, from which a soak is checked. Times are monotonic seconds."""
 
 from __future__ import annotations
 
@@ -15,30 +15,31 @@
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    LEFT = "left"  # the client went away before its answer
-    BROKEN = "broken"  # the connection ended without a whole answer
-    SILENT = "silent"  # no answer by the client's time and half a second more
-    KILLED = "killed"  # as `broken` or `silent`, by a SIGKILL that excuses it
+    LEFT = "left"  # the client disconnected before the response
+    BROKEN = "broken"  # the connection ended without a complete response
+    SILENT = "silent"  # no response within half a second after the client's deadline
+    KILLED = "killed"  # like `broken` or `silent`, but excused by a SIGKILL of the gateway
 
 
 @dataclass(slots=True)
 class Arrival:
-    """An attempt at a node. `first_at`, `last_at`: its first and last byte; `told_s`: what `d` said."""
+    """An attempt as a node received it. `first_at`, `last_at`: times of its first and last byte;
+    `remaining_s`: the time until the deadline that its field `d` gives."""
 
     node: str
     address: str
     first_at: float
     last_at: float
-    told_s: float
-    is_open: Callable[[], bool]  # its connection has not been ended by the gateway
-    ended_at: float | None = None  # answered, or its connection ended
+    remaining_s: float
+    is_open: Callable[[], bool]  # whether the gateway has left its connection open
+    ended_at: float | None = None  # when it was answered or its connection ended
     ran: bool = False
-    beside: str = ""  # the node of an attempt that was still out on an open connection
+    concurrent_with: str = ""  # node of an earlier attempt still in progress on an open connection
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request of a client, its resend on a new connection included."""
+    """One request of a client, including its resend on a new connection."""
 
     id: str
     gateway: int
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Life:
-    """One process of a gateway, and what was done to it; `ended_at`: it ended by itself."""
+    """Lifetime of one gateway process. `ended_at`: exit after SIGTERM, without a SIGKILL."""
 
     started_at: float
     ready_at: float | None = None
@@ -63,18 +64,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """An agent was told that a node drains or is gone. `had_at`: from when on it counts as told to a sound
-    agent's gateway; `late_by_s`: what a slow agent adds at most."""
+    """A notice to an agent that a node drains or was removed. `notified_at`: when it counts as delivered to
+    the gateway of a healthy agent; `late_by_s`: the most that a slow agent adds."""
 
     node: str
     address: str
-    had_at: float
-    until: float  # up again from then on
+    notified_at: float
+    until: float  # the node is up again from this time on
     late_by_s: float
 
 
 class Lateness:
-    """How late this process itself ran: what it timed then may be late by as much."""
+    """Scheduling delay of this process, by which times that it recorded may be late."""
 
     def __init__(self) -> None:
         self._samples: deque[tuple[float, float]] = deque(maxlen=20_000)
@@ -83,7 +84,7 @@
         self._samples.append((at, late_s))
 
     def around(self, at: float, span_s: float = 0.5) -> float:
-        """The most within `span_s` of that time."""
+        """The largest delay in seconds within `span_s` of that time."""
         return max((late for when, late in self._samples if abs(when - at) <= span_s), default=0.0)
 
     def p99_ms(self) -> float:
@@ -93,11 +94,11 @@
 
 @dataclass(slots=True)
 class Records:
-    """All of a run."""
+    """All records of a run."""
 
     requests: dict[str, RequestRecord] = field(default_factory=dict)
     lives: dict[int, list[Life]] = field(default_factory=dict)
     notices: dict[int, list[Notice]] = field(default_factory=dict)  # by gateway
-    half_clients_unheard: int = 0  # clients with half a request that heard nothing in their time
+    half_requests_unanswered: int = 0  # stalled half requests that got no response in time
     lateness: Lateness = field(default_factory=Lateness)
-    unix_offset_s: float = 0.0  # Unix time less monotonic time: logs have the former
+    unix_offset_s: float = 0.0  # Unix time minus monotonic time, to match times in logs
--- a/stackrouter/soak/run.py
+++ b/stackrouter/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: gateways as processes, all else in this one, faults by the schedule, then the verdict."""
+"""Runs one soak: gateways in their own processes, clients, nodes and agents in this one, and the checks."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 from stackrouter.soak.schedule import Fault, draw
 from stackrouter.standins.discovery import entry
 
-NODES_A_SHARD: Final = 3
-LATENESS_STEP_S: Final = 0.01
-PUSHED_WITHIN_S: Final = 0.3  # a change reaches the agents one after another
-BACK_AFTER_S: Final = (0.4, 1.2)
-HUPS_MOST: Final = 3
+NODES_PER_SHARD: Final = 3
+LATENESS_STEP_S: Final = 0.01  # sampling interval
+PUSH_SPREAD_S: Final = 0.3  # a change reaches each agent after a random delay up to this
+RETURN_DELAY_S: Final = (0.4, 1.2)  # from a node's removal to its return, beyond PUSH_SPREAD_S
+MAX_HUPS: Final = 3
 
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What a soak showed; `ok`: no violation, no unanswered request, no crash."""
+    """Result of a soak. `ok`: no violation, no unanswered request, no crash."""
 
     seed: int
     requests: int
@@ -55,7 +55,7 @@
 
 
 class Soak:
-    """Use once: `play`."""
+    """A single soak; `play` can be called once. `folder`: where to keep files and logs."""
 
     def __init__(self, options: SoakOptions, folder: Path | None = None) -> None:
         self.options = options
@@ -64,7 +64,7 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         self.records = Records(unix_offset_s=time.time() - time.monotonic())
         self._rng = random.Random(f"{options.seed} run")
-        shards = max(1, options.nodes // NODES_A_SHARD)
+        shards = max(1, options.nodes // NODES_PER_SHARD)
         self.nodes = [
             SoakNode(f"s-{i}", i % shards, self.records, options.seed) for i in range(options.nodes)
         ]
@@ -82,7 +82,7 @@
         return entry(node.name, node.address, node.shard, "hall-a", "std", status, node.since_ms)
 
     def play(self) -> SoakResult:
-        """Everything that was started has ended when this returns."""
+        """Runs the soak and returns its result after all processes and servers have stopped."""
         watch = gevent.spawn(self._watch_lateness)
         try:
             for gateway in self.gateways:
@@ -110,12 +110,12 @@
                 gateway.number, gateway.state, self.records, self.options.seed, self.options.requests_per_s,
                 self._shards, "halves" in self.options.faults,
             )  # fmt: skip
-        began = time.monotonic()
+        began_at = time.monotonic()
         for fault in draw(self.options):
-            gevent.sleep(max(0.0, began + fault.at_s - time.monotonic()))
+            gevent.sleep(max(0.0, began_at + fault.at_s - time.monotonic()))
             self._faults[fault.kind] += 1
             gevent.spawn(self._inject, fault)
-        gevent.sleep(max(0.0, began + self.options.seconds - time.monotonic()))
+        gevent.sleep(max(0.0, began_at + self.options.seconds - time.monotonic()))
 
     def _inject(self, fault: Fault) -> None:
         match fault.kind:
@@ -126,43 +126,43 @@
             case "resets":
                 self.nodes[fault.target].reset()
             case "holds":
-                self.gateways[fault.target].hold(fault.amount)
+                self.gateways[fault.target].pause(fault.amount)
             case "silence":
                 self.gateways[fault.target].agent.silence(fault.amount)
             case "slowness":
                 self.gateways[fault.target].agent.slow(fault.amount)
             case "history":
-                self.gateways[fault.target].agent.other_history()
+                self.gateways[fault.target].agent.renumber()
             case "term" | "kill":
                 self.gateways[fault.target].restart(fault.amount, by_term=fault.kind == "term")
             case "hup":
-                self.gateways[fault.target].hang_up(1 + round(fault.amount * (HUPS_MOST - 1)))
+                self.gateways[fault.target].send_hups(1 + round(fault.amount * (MAX_HUPS - 1)))
             case "leavers":
                 clients = self.gateways[fault.target].clients
                 if clients is not None:
                     clients.leave(fault.amount)
 
-    def _drain(self, number: int, length_s: float) -> None:
+    def _drain(self, number: int, duration_s: float) -> None:
         if number in self._draining:
             return
         self._draining.add(number)
         node = self.nodes[number]
         node.drain()
         self._push(node, "draining")
-        gevent.sleep(length_s)
+        gevent.sleep(duration_s)
         self._push(node, "removed")
-        gevent.sleep(PUSHED_WITHIN_S + random.Random(f"{self.options.seed} {number}").uniform(*BACK_AFTER_S))
-        node.come_back()
+        gevent.sleep(PUSH_SPREAD_S + random.Random(f"{self.options.seed} {number}").uniform(*RETURN_DELAY_S))
+        node.restart_elsewhere()
         self._push(node, "up")
-        gevent.sleep(PUSHED_WITHIN_S)
+        gevent.sleep(PUSH_SPREAD_S)
         self._draining.discard(number)
 
     def _push(self, node: SoakNode, status: str) -> None:
-        """To each agent in its own time."""
-        told = self._entry(node, status)
+        """Sends a node's status to each agent after a random delay."""
+        changed = self._entry(node, status)
         for gateway in self.gateways:
             gevent.spawn_later(
-                self._rng.uniform(0.0, PUSHED_WITHIN_S), gateway.agent.push, node.name, dict(told)
+                self._rng.uniform(0.0, PUSH_SPREAD_S), gateway.agent.push, node.name, dict(changed)
             )
 
     def _watch_lateness(self) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,7 @@
-"""Several processes of the program with faults between them. Every run is bounded in time and on loopback."""
+"""Runs the fault harness with several program processes on loopback, and checks its figures.
+
+Every run is bounded in time.
+"""
 
 from __future__ import annotations
 
@@ -38,46 +41,54 @@
 )
 
 
-def counted(harness: Harness, name: str) -> dict[str, int]:
-    """The member's counters now, which it prints when asked."""
+def current_counters(harness: Harness, name: str) -> dict[str, int]:
+    """The member's current counters, which it prints on SIGUSR1."""
     log, program = harness.folder / f"{name}.log", harness.processes.programs[harness.names.index(name)]
-    before = len(printed(log))
+    before = len(printed_counters(log))
     program.send_signal(signal.SIGUSR1)
-    until = time.monotonic() + 10
-    while len(lines := printed(log)) == before:
-        assert time.monotonic() < until, "no counters"
+    deadline = time.monotonic() + 10
+    while len(lines := printed_counters(log)) == before:
+        assert time.monotonic() < deadline, "the member printed no counters"
         gevent.sleep(0.02)
-    told: dict[str, int] = json.loads(lines[-1])
-    return told
+    counters: dict[str, int] = json.loads(lines[-1])
+    return counters
 
 
-def printed(log: Path) -> list[str]:
+def printed_counters(log: Path) -> list[str]:
+    """The lines of counters in a member's log."""
     return [line for line in log.read_text().splitlines() if line.startswith("{") and line.endswith("}")]
 
 
 class FleetRun(unittest.TestCase):
     def test_faults_on_five_members_leave_no_overlap(self) -> None:
-        done = command("fleet", "run", "--members", "5", "--nemesis", "stall,partition,handoff,skew,oneway",
-                       "--seed", "11", "--seconds", "5", "--check", "lease", "--json")  # fmt: skip
-        told = json.loads(done.stdout.splitlines()[-1])
-        self.assertEqual((told["overlaps"], told["belief_overlaps"], told["unfinished"]), (0, 0, 0), told)
-        self.assertGreater(told["faults"], 1)
-        self.assertGreater(told["actions"], 100)
-        self.assertEqual(set(told), {*RUN_KEYS.split(), "handoff_bound_ms", "ok"})
-        self.assertEqual(set(told["exits"]), {"0"})
-
-    def test_a_holder_that_wakes_and_acts_is_refused_and_without_the_fence_the_check_says_so(self) -> None:
+        """Guards against two members that act under the same duty when faults hit its holder."""
+        completed = command("fleet", "run", "--members", "5",
+                            "--nemesis", "stall,partition,handoff,skew,oneway",
+                            "--seed", "11", "--seconds", "5", "--check", "lease", "--json")  # fmt: skip
+        values = json.loads(completed.stdout.splitlines()[-1])
+        self.assertEqual(
+            (values["overlaps"], values["belief_overlaps"], values["unfinished"]), (0, 0, 0), values
+        )
+        self.assertGreater(values["faults"], 1)
+        self.assertGreater(values["actions"], 100)
+        self.assertEqual(set(values), {*RUN_KEYS.split(), "handoff_bound_ms", "ok"})
+        self.assertEqual(set(values["exits"]), {"0"})
+
+    def test_a_stale_holder_is_rejected_and_without_the_fence_an_overlap_is_reported(self) -> None:
+        """Guards against a holder that is paused between checking its lease and acting, and whose action
+        arrives after another member has taken over. The run without the fence verifies the checker."""
         for fenced in (True, False):
             with self.subTest(fenced=fenced), tempfile.TemporaryDirectory() as folder:
                 options = HarnessOptions(
                     members=3, seed=2, seconds=6.0, kinds=("stall",), work_ms=400, fenced=fenced
                 )
                 with Harness(options, Path(folder)) as harness:
-                    found = harness.run()
-                self.assertEqual(found.overlaps == 0, fenced)
-                self.assertEqual(found.refused > 0, fenced)
+                    verdict = harness.run()
+                self.assertEqual(verdict.overlaps == 0, fenced)
+                self.assertEqual(verdict.refused > 0, fenced)
 
     def test_a_member_that_joins_while_the_leader_is_stopped_takes_part(self) -> None:
+        """Guards against a member that cannot join a group whose leader does not respond at that time."""
         with tempfile.TemporaryDirectory() as folder:
             seed = next(s for s in range(100) if joins_late(s))
             with Harness(
@@ -88,13 +99,14 @@
 
 
 def joins_late(seed: int) -> bool:
+    """Whether this seed's schedule starts the last member late."""
     from stackrouter.fleet.schedule import draw
 
     return draw(seed, 4, ("join",), 4.0, 800_000, 80_000, ("watch",)).late is not None
 
 
 def figures(seed: int, **changed: object) -> RunFigures:
-    """Of a run in which nothing was wrong but for what is changed."""
+    """Figures of a run that meets all checks, apart from the fields in `changed`."""
     handoffs = [HandoffTime("kill", 900.0, True), HandoffTime("stall", 4000.0, False)]
     values: dict[str, object] = {
         "members": 3, "seed": seed, "runs": 1, "failed": 0, "overlaps": 0, "belief_overlaps": 0, "refused": 1,
@@ -107,7 +119,7 @@
 
 
 class Figures(unittest.TestCase):
-    def test_figures_come_back_from_their_json_and_sum_up(self) -> None:
+    def test_figures_survive_json_and_are_summed_over_a_sweep(self) -> None:
         one = figures(1)
         self.assertEqual(set(one.to_json()), set(RUN_KEYS.split()))
         end = read_end(1, 0, json.dumps(one.to_json()), "")
@@ -115,21 +127,25 @@
         total = SweepFigures("3", 1, 2, False)
         total.add(one)
         total.add(figures(2))
-        told = Bounds.of(HarnessOptions()).judged(total.to_json())
-        self.assertEqual(set(told), {*SWEEP_KEYS.split(), "handoff_bound_ms", "ok"})
-        self.assertEqual((told["runs"], told["faults"], told["exits"], told["ok"]), (2, 4, {"0": 6}, True))
-        self.assertEqual((told["cpu_ms_s"], told["p99_by_kind"]), (80.0, {"kill": 900.0, "stall": None}))
-        keeps = Bounds.of(HarnessOptions(policy=True))
-        told = keeps.judged(SweepFigures("3", 1, 0, True).to_json())
+        values = Bounds.of(HarnessOptions()).judged(total.to_json())
+        self.assertEqual(set(values), {*SWEEP_KEYS.split(), "handoff_bound_ms", "ok"})
+        self.assertEqual(
+            (values["runs"], values["faults"], values["exits"], values["ok"]), (2, 4, {"0": 6}, True)
+        )
+        self.assertEqual((values["cpu_ms_s"], values["p99_by_kind"]), (80.0, {"kill": 900.0, "stall": None}))
+        policy_bounds = Bounds.of(HarnessOptions(policy=True))
+        values = policy_bounds.judged(SweepFigures("3", 1, 0, True).to_json())
         keys = {*SWEEP_KEYS.split(), *SWEEP_POLICY_KEYS.split()}
-        self.assertEqual(set(told), keys | {"split_bound_ms", "handoff_bound_ms", "ok"})
-        self.assertEqual(told["split_bound_ms"], 1160.0)
+        self.assertEqual(set(values), keys | {"split_bound_ms", "handoff_bound_ms", "ok"})
+        self.assertEqual(values["split_bound_ms"], 1160.0)
 
-    def test_a_harness_that_did_not_end_is_counted_and_the_sweep_does_not_hold(self) -> None:
+    def test_a_harness_without_figures_fails_the_sweep(self) -> None:
+        """Guards against a sweep that passes although a harness crashed, was killed or lost a member, and so
+        returned no figures or incomplete ones."""
         ends = [
             read_end(7, 2, "", "some line\nSR-START: seed 7: g1: ended"),
             read_end(8, -9, "", ""),
-            read_end(9, 0, '{"members":3,"se', ""),  # cut off while it was written
+            read_end(9, 0, '{"members":3,"se', ""),  # truncated output
             read_end(10, 1, "[]", ""),
         ]
         self.assertEqual([end.figures for end in ends], [None] * 4)
@@ -139,37 +155,40 @@
         for total in (SweepFigures("3", 7, 2, False), SweepFigures("3", 7, 3, False)):
             total.add(figures(5))
             total.add_failed(7, ends[0].why)
-            told = bounds.judged(total.to_json())
-            self.assertEqual((told["failed"], told["harnesses_finished"], told["ok"]), (1, 1, False))
-            self.assertEqual(told["harnesses_unfinished"], told["harnesses"] - 1)
-        short = SweepFigures("3", 7, 1, False)
-        short.add(figures(5, exits={"0": 2}))  # one of three members is not accounted for
-        told = bounds.judged(short.to_json())
-        self.assertEqual((told["harnesses_unfinished"], told["ok"]), (1, False))
-        self.assertEqual(told["bad_seeds"], ["5: 2 of 3 members ended"])
-
-    def test_what_breaks_a_single_run_breaks_the_sweep(self) -> None:
+            values = bounds.judged(total.to_json())
+            self.assertEqual((values["failed"], values["harnesses_finished"], values["ok"]), (1, 1, False))
+            self.assertEqual(values["harnesses_unfinished"], values["harnesses"] - 1)
+        incomplete = SweepFigures("3", 7, 1, False)
+        incomplete.add(figures(5, exits={"0": 2}))  # the exit code of one of three members is missing
+        values = bounds.judged(incomplete.to_json())
+        self.assertEqual((values["harnesses_unfinished"], values["ok"]), (1, False))
+        self.assertEqual(values["bad_seeds"], ["5: 2 of 3 members ended"])
+
+    def test_a_violation_in_one_run_fails_the_sweep(self) -> None:
         for name in ("overlaps", "belief_overlaps", "unfinished"):
             total = SweepFigures("3", 5, 1, False)
             total.add(figures(5, **{name: 1}))
-            told = Bounds.of(HarnessOptions()).judged(total.to_json())
-            self.assertEqual((told["ok"], told["bad_seeds"]), (False, ["5"]), name)
+            values = Bounds.of(HarnessOptions()).judged(total.to_json())
+            self.assertEqual((values["ok"], values["bad_seeds"]), (False, ["5"]), name)
         beyond = Bounds.of(HarnessOptions(kinds=("skew-beyond",)))
         self.assertTrue(beyond.judged(figures(5, belief_overlaps=1).to_json())["ok"])
         slow = [HandoffTime("kill", 1700.0, True)]
         late = figures(5, handoffs=slow, times=HandoffFigures.of(slow))
         self.assertFalse(Bounds.of(HarnessOptions()).judged(late.to_json())["ok"])
 
-    def test_a_sweep_runs_each_seed_in_a_process_and_says_how_many_ended(self) -> None:
-        done = command("fleet", "run", "--members", "1", "--nemesis", "none", "--seconds", "0.5",
-                       "--runs", "2", "--parallel", "2", "--check", "policy", "--json")  # fmt: skip
-        told = json.loads(done.stdout.splitlines()[-1])
-        self.assertEqual((told["harnesses"], told["harnesses_finished"], told["runs"]), (2, 2, 2), told)
-        self.assertEqual((told["failed"], told["exits"]), (0, {"0": 2}), told)
+    def test_a_sweep_runs_each_seed_in_a_process_and_counts_those_that_ended(self) -> None:
+        completed = command("fleet", "run", "--members", "1", "--nemesis", "none", "--seconds", "0.5",
+                            "--runs", "2", "--parallel", "2", "--check", "policy", "--json")  # fmt: skip
+        values = json.loads(completed.stdout.splitlines()[-1])
+        self.assertEqual(
+            (values["harnesses"], values["harnesses_finished"], values["runs"]), (2, 2, 2), values
+        )
+        self.assertEqual((values["failed"], values["exits"]), (0, {"0": 2}), values)
 
 
 class RaftLog(unittest.TestCase):
     def test_the_last_index_is_read_as_the_library_wrote_it(self) -> None:
+        """Guards against a change of the library's journal format, and against reading a partial file."""
         from pysyncobj.journal import FileJournal
 
         with tempfile.TemporaryDirectory() as folder:
@@ -183,34 +202,41 @@
             self.assertEqual(last_index(file), 399)
             journal.deleteEntriesTo(300)  # a compaction
             self.assertEqual(last_index(file), 399)
-            journal.deleteEntriesFrom(50)  # entries that another leader does not have
+            journal.deleteEntriesFrom(50)  # removes entries that a new leader does not have
             self.assertEqual(last_index(file), 350)
             file.write_bytes(file.read_bytes()[:60])
-            self.assertEqual(last_index(file), 0)  # cut off
+            self.assertEqual(last_index(file), 0)  # truncated file
 
 
-class Watcher(unittest.TestCase):
-    def test_one_asks_discovery_for_all_and_each_for_itself_once_the_group_is_lost(self) -> None:
+class DiscoveryWatch(unittest.TestCase):
+    def test_one_member_watches_for_all_and_each_for_itself_without_a_majority(self) -> None:
+        """Guards against members that all poll discovery while a watcher serves them, and against a member
+        that stops asking once the group has lost its majority."""
         with tempfile.TemporaryDirectory() as folder:
             with Harness(HarnessOptions(members=3, seed=1), Path(folder)) as harness:
-                gevent.sleep(6.0)  # all follow by now: a watch lasts 2 s
+                gevent.sleep(6.0)  # all members follow the watcher by now: a watch lasts 2 s
                 before = harness.backend.discovery.calls
                 gevent.sleep(4.0)
                 self.assertLessEqual(
                     harness.backend.discovery.calls - before, 4
-                )  # alone, three gateways make 6
-                known = {name: counted(harness, name).get("lists.delta", 0) for name in harness.names}
+                )  # three gateways that watch alone make 6 calls
+                deltas_before = {
+                    name: current_counters(harness, name).get("lists.delta", 0) for name in harness.names
+                }
                 harness.backend.discovery.change("s-1", status="draining")
-                until = time.monotonic() + 10
+                deadline = time.monotonic() + 10
                 while any(
-                    counted(harness, name).get("lists.delta", 0) == known[name] for name in harness.names
+                    current_counters(harness, name).get("lists.delta", 0) == deltas_before[name]
+                    for name in harness.names
                 ):
-                    self.assertLess(time.monotonic(), until, "the change has not reached all")
+                    self.assertLess(time.monotonic(), deadline, "the change has not reached all members")
                 for i in (0, 1):  # no majority is left
                     harness.processes.programs[i].kill()
                 before = harness.backend.discovery.calls
-                until = time.monotonic() + 20
+                deadline = time.monotonic() + 20
                 while harness.backend.discovery.calls < before + 3:
-                    self.assertLess(time.monotonic(), until, "the one that is left does not ask")
+                    self.assertLess(
+                        time.monotonic(), deadline, "the remaining member does not call discovery"
+                    )
                     gevent.sleep(0.1)
             self.assertEqual(harness.exits[2], 0)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,8 @@
-"""A short soak in CI, and each rule of the judge broken on purpose by a gateway whose guard is taken out."""
+"""Runs short soaks, with and without disabled rules, and checks the judge on hand-made records.
+
+Each rule is violated on purpose by gateways that do not enforce it: a judge that cannot detect a violation
+would let every soak pass.
+"""
 
 from __future__ import annotations
 
@@ -19,23 +23,26 @@
 
 def soak(*options: str) -> tuple[int, dict[str, Any]]:
     command = [sys.executable, "-m", "stackrouter.cli.main", "fleet", "soak", "--json", *options]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=120, check=False)
-    assert done.stdout, done.stderr
-    return done.returncode, json.loads(done.stdout.splitlines()[-1])
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=120, check=False)
+    assert completed.stdout, completed.stderr
+    return completed.returncode, json.loads(completed.stdout.splitlines()[-1])
 
 
-class Played(unittest.TestCase):
+class SoakRuns(unittest.TestCase):
     def test_a_short_soak_with_all_faults_breaks_no_rule(self) -> None:
-        code, told = soak("--gateways", "5", "--nodes", "15", "--seconds", "8", "--seed", "7")
+        """Guards against violations, lost responses and crashes when faults of all kinds overlap."""
+        code, result = soak("--gateways", "5", "--nodes", "15", "--seconds", "8", "--seed", "7")
         self.assertEqual(
-            (code, told["violations"], told["unanswered"], told["crashes"]), (0, {}, 0, []), told
+            (code, result["violations"], result["unanswered"], result["crashes"]), (0, {}, 0, []), result
         )
-        self.assertEqual(told["counted"], {})
-        self.assertGreater(told["answered"], 400)
-        self.assertGreater(sum(told["faults"].values()), 20)
-
-    def test_a_guard_that_is_taken_out_is_found(self) -> None:
-        planted = {
+        self.assertEqual(result["counted"], {})
+        self.assertGreater(result["answered"], 400)
+        self.assertGreater(sum(result["faults"].values()), 20)
+
+    def test_a_rule_that_is_not_enforced_is_reported(self) -> None:
+        """Guards against a soak that passes although a rule is violated: each run disables one rule in the
+        gateways and injects the faults that lead to its violation."""
+        planted = {  # rule: kinds of faults, rule that is reported
             "drain": ("drains", "drain"),
             "lost": ("leavers,hangs", "lost"),
             "deadline": ("none", "deadline"),
@@ -51,15 +58,15 @@
 
         with ThreadPoolExecutor(3) as pool:
             runs = {rule: pool.submit(play, rule) for rule in planted}
-        for rule, (_, broken) in planted.items():
+        for rule, (_, reported) in planted.items():
             with self.subTest(rule):
-                told = runs[rule].result()
-                self.assertGreater(told["violations"].get(broken, 0), 0, told)
-                self.assertIn(broken, told["why"])
+                result = runs[rule].result()
+                self.assertGreater(result["violations"].get(reported, 0), 0, result)
+                self.assertIn(reported, result["why"])
 
 
-class Schedule(unittest.TestCase):
-    def test_the_same_seed_gives_the_same_faults_and_another_seed_others(self) -> None:
+class FaultSchedule(unittest.TestCase):
+    def test_faults_are_reproducible_from_the_seed(self) -> None:
         options = SoakOptions(seed=3)
         self.assertEqual(draw(options), draw(options))
         self.assertNotEqual(draw(options), draw(SoakOptions(seed=4)))
@@ -69,8 +76,8 @@
         self.assertEqual(draw(SoakOptions(faults=())), [])
 
 
-class Judged(unittest.TestCase):
-    """Records that hold, and each with one thing wrong."""
+class Judge(unittest.TestCase):
+    """Records without a violation, and copies of them with one violation each."""
 
     def records(self) -> tuple[Records, RequestRecord, Arrival]:
         records = Records()
@@ -79,45 +86,50 @@
         records.requests["a"] = request
         return records, request, arrival
 
-    def broken(self, change: Callable[[Records, RequestRecord, Arrival], None]) -> dict[str, int]:
+    def violations(self, change: Callable[[Records, RequestRecord, Arrival], None]) -> dict[str, int]:
         records, request, arrival = self.records()
         change(records, request, arrival)
         return dict(judge(records, {"turn-write": 0.8}).violations)
 
-    def test_each_rule(self) -> None:
-        def notice(had_at: float) -> Callable[[Records, RequestRecord, Arrival], None]:
+    def test_each_violation_is_reported_under_its_rule(self) -> None:
+        def notice(notified_at: float) -> Callable[[Records, RequestRecord, Arrival], None]:
             def change(records: Records, _: RequestRecord, __: Arrival) -> None:
-                records.notices[0] = [Notice("s-1", "h:1", had_at, float("inf"), 0.0)]
+                records.notices[0] = [Notice("s-1", "h:1", notified_at, float("inf"), 0.0)]
 
             return change
 
         def left(records: Records, request: RequestRecord, arrival: Arrival) -> None:
             request.ending, request.ended_at = Ending.LEFT, 99.9
 
-        def told(records: Records, request: RequestRecord, arrival: Arrival) -> None:
-            arrival.told_s = 1.2
+        def deadline_too_long(records: Records, request: RequestRecord, arrival: Arrival) -> None:
+            arrival.remaining_s = 1.2
 
         def unanswered(records: Records, request: RequestRecord, arrival: Arrival) -> None:
             request.ending = Ending.SILENT
 
-        def again(at: float, beside: str = "") -> Callable[[Records, RequestRecord, Arrival], None]:
+        def second_attempt(
+            at: float, concurrent_with: str = ""
+        ) -> Callable[[Records, RequestRecord, Arrival], None]:
             def change(_: Records, request: RequestRecord, __: Arrival) -> None:
                 request.deadline_s = 9.0
-                request.arrivals.append(Arrival("s-2", "h:2", at, at, 0.1, lambda: False, beside=beside))
+                request.arrivals.append(
+                    Arrival("s-2", "h:2", at, at, 0.1, lambda: False, concurrent_with=concurrent_with)
+                )
 
             return change
 
-        self.assertEqual(self.broken(lambda *_: None), {})
-        self.assertEqual(self.broken(notice(99.72)), {})
-        self.assertEqual(self.broken(notice(99.70)), {"drain": 1})
-        self.assertEqual(self.broken(left), {"lost": 1})
-        self.assertEqual(self.broken(told), {"deadline": 1})
-        self.assertEqual(self.broken(unanswered), {"unanswered": 1})
-        self.assertEqual(self.broken(again(100.85)), {})
-        self.assertEqual(self.broken(again(100.87)), {"duplicate": 1})
-        self.assertEqual(self.broken(again(100.5, "s-1")), {"second_copy": 1})
-
-    def test_what_this_process_timed_late_is_allowed_for(self) -> None:
+        self.assertEqual(self.violations(lambda *_: None), {})
+        self.assertEqual(self.violations(notice(99.72)), {})
+        self.assertEqual(self.violations(notice(99.70)), {"drain": 1})
+        self.assertEqual(self.violations(left), {"lost": 1})
+        self.assertEqual(self.violations(deadline_too_long), {"deadline": 1})
+        self.assertEqual(self.violations(unanswered), {"unanswered": 1})
+        self.assertEqual(self.violations(second_attempt(100.85)), {})
+        self.assertEqual(self.violations(second_attempt(100.87)), {"duplicate": 1})
+        self.assertEqual(self.violations(second_attempt(100.5, "s-1")), {"second_copy": 1})
+
+    def test_delays_of_the_recording_process_are_tolerated(self) -> None:
+        """Guards against false violations when the process that records the times is scheduled late."""
         records, request, _ = self.records()
         request.ending, request.ended_at = Ending.LEFT, 99.9
         records.lateness.add(100.0, 0.02)
