--- a/stackrouter/soak/agents.py
+++ b/stackrouter/soak/agents.py
@@ -43,6 +43,7 @@
 
     @property
     def address(self) -> str:
+        """The current address, as host:port."""
         return f"127.0.0.1:{self._servers[-1].server_port}"
 
     def _listen(self) -> StreamServer:
@@ -132,6 +133,7 @@
         notices[:] = [replace(n, notified_at=max(n.notified_at, at)) if n.until > now else n for n in notices]
 
     def stop(self) -> None:
+        """Stops listening."""
         for server in self._servers:
             server.stop(timeout=0)
 
--- a/stackrouter/soak/clients.py
+++ b/stackrouter/soak/clients.py
@@ -49,6 +49,7 @@
     killed_at: float | None = None
 
     def takes_connections(self, now: float) -> bool:
+        """Whether clients may open new connections to it at the time `now`."""
         return self.ready and (self.terminated_at is None or now - self.terminated_at < STOP_CONNECTS_S)
 
 
--- a/stackrouter/soak/nodes.py
+++ b/stackrouter/soak/nodes.py
@@ -34,6 +34,7 @@
 
     @property
     def address(self) -> str:
+        """The current address, as host:port."""
         return f"127.0.0.1:{self._server.server_port}"
 
     def _listen(self) -> StreamServer:
@@ -66,6 +67,7 @@
                 sock.close()
 
     def stop(self) -> None:
+        """Stops listening and closes all connections."""
         for server in (self._server, *self._former_servers):
             server.stop(timeout=0)
         for sock in list(self._sockets):
--- a/stackrouter/soak/records.py
+++ b/stackrouter/soak/records.py
@@ -81,6 +81,7 @@
         self._samples: deque[tuple[float, float]] = deque(maxlen=20_000)
 
     def add(self, at: float, late_s: float) -> None:
+        """Records a delay that was measured at this time."""
         self._samples.append((at, late_s))
 
     def around(self, at: float, span_s: float = 0.5) -> float:
@@ -88,6 +89,7 @@
         return max((late for when, late in self._samples if abs(when - at) <= span_s), default=0.0)
 
     def p99_ms(self) -> float:
+        """99th percentile of the recorded delays in milliseconds; 0.0 without samples."""
         ordered = sorted(late for _, late in self._samples)
         return round(1000 * ordered[int(0.99 * (len(ordered) - 1))], 1) if ordered else 0.0
 
