--- a/stackrouter/fleet/check.py
+++ b/stackrouter/fleet/check.py
@@ -23,7 +23,7 @@
     received_ns: int
     duty: str
     token: int
-    incarnation: str  # `MEMBER#N`: the N-th process of this member
+    incarnation: str  # `MEMBER#ID`, which identifies one process of the member
     checked_ns: int  # when the sender checked that its lease was valid
     accepted: bool
 
