--- a/stackrouter/fronts/__init__.py
+++ b/stackrouter/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""The wires the gateway speaks; core and net import nothing from here."""
+"""The client and node protocols of the gateway; `core` and `net` import nothing from this package."""
--- a/stackrouter/fronts/platform/__init__.py
+++ b/stackrouter/fronts/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform front: RESP2 to clients and storage nodes."""
+"""The platform front, which speaks RESP2 with clients and storage nodes."""
--- a/stackrouter/fronts/platform/client.py
+++ b/stackrouter/fronts/platform/client.py
@@ -1,4 +1,7 @@
-"""The platform's client side: RESP2 commands to core requests, results to RESP2 answers, in order."""
+"""Client side of the platform front: converts RESP2 commands to core requests, and results to RESP2 answers.
+
+Answers are sent in the order of the commands.
+"""
 
 from __future__ import annotations
 
@@ -19,51 +22,50 @@
 from stackrouter.ops.drain import Drain
 
 WIRE = "platform"
-PATIENCE = Patience(
-    request_s=2.2, idle_s=2.2
-)  # bad clients must hear within 3 s; good ones open what they need
-MOST_PIPELINED = 32  # commands of one connection that may wait for their answers
+# Malformed and idle connections must be closed within 3 s; other clients reconnect as needed.
+PATIENCE = Patience(request_s=2.2, idle_s=2.2)
+MAX_PIPELINED = 32  # commands of one connection that may wait for their answers
 READ, WRITE = b"BLK.READ", b"BLK.WRITE"
 BUSY = resp.error("BUSY")
-DRAINING = resp.error("ERR draining")  # PING's no: the front sends no new connection 0.2 s later
-LONGEST_WAIT_MS = 3_600_000
-LOGGED_BAD = 8  # bad commands told in the log, the first ones; the counter counts them all
+DRAINING = resp.error("ERR draining")  # answer to PING; a front sends no new connections from 0.2 s after it
+MAX_WAIT_MS = 3_600_000
+MAX_LOGGED_BAD_COMMANDS = 8  # only the first ones are logged; the counter includes all of them
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class Names:
-    """The settings' names of classes and plans, by index, the bounds of requests, the open ids, and the
-    drain that PING tells the front of. `classes` and `settings` change at SIGHUP (see ops.retune)."""
+    """Indexes of classes and plans by name, bounds of requests, ids of open requests, and the drain state
+    that PING reports. `classes` and `settings` change at SIGHUP (see ops.retune)."""
 
     classes: dict[str, int]  # changed in place at SIGHUP
     plans: Mapping[str, int]
     settings: Settings
-    shards: int  # 0: not stated
-    open: set[bytes] = field(default_factory=set)
+    shards: int  # 0: not configured
+    open_ids: set[bytes] = field(default_factory=set)
     drain: Drain = field(default_factory=Drain)
-    unchecked: set[int] = field(default_factory=set)  # classes whose write flag no file stated
+    unchecked: set[int] = field(default_factory=set)  # classes without a configured write flag
 
 
-PIECE = re.compile(rb"[0-9a-fA-F]{16}")  # of data, and volumes
+HEX_ID = re.compile(rb"[0-9a-fA-F]{16}")  # ids of data pieces and volumes
 TOKEN = re.compile(rb"[!-+\--~]{1,64}")  # ids and keys: no space, comma or control byte
-WHOLE = re.compile(r"-?[0-9]{1,9}")
-AMOUNT = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
+INTEGER = re.compile(r"-?[0-9]{1,9}")
+DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
 class BadCommandError(Exception):
-    """The command cannot be carried out; the connection goes on."""
+    """The command is invalid; it is answered with an error and the connection stays open."""
 
 
-def request_of(parts: list[bytes], names: Names, answer: Callable[[Result], None]) -> Request:
-    """A BLK command in the core's terms; raises BadCommandError for what no node could use."""
+def parse_request(parts: list[bytes], names: Names, answer: Callable[[Result], None]) -> Request:
+    """Convert a BLK command to a core request; raises BadCommandError if no node could use it."""
     name = parts[0].upper()
     if len(parts) != (5 if name == WRITE else 4):
         raise BadCommandError("wrong number of arguments")
-    _, piece, request_id, raw, *body = parts
+    _, piece, request_id, raw_fields, *body = parts
     try:
-        pairs = [field.partition("=") for field in raw.decode("ascii").split(",")]
+        pairs = [pair.partition("=") for pair in raw_fields.decode("ascii").split(",")]
     except UnicodeDecodeError:
         raise BadCommandError("bad fields") from None
     fields = {key: value for key, _, value in pairs}
@@ -71,26 +73,38 @@
         raise BadCommandError("a field is given twice or has no value")
     now = clock_us()
     try:
-        units, gateways = float(number(AMOUNT, fields["units"])), int(number(WHOLE, fields.get("hosts", "1")))
-        shard, wait_ms = int(number(WHOLE, fields.get("shard", "-1"))), int(number(WHOLE, fields["d"]))
+        units, gateways = (
+            float(number(DECIMAL, fields["units"])),
+            int(number(INTEGER, fields.get("hosts", "1"))),
+        )
+        shard, wait_ms = int(number(INTEGER, fields.get("shard", "-1"))), int(number(INTEGER, fields["d"]))
         request_class, plan = names.classes.get(fields["c"]), names.plans.get(fields["t"])
         volume = fields["volume"]
     except KeyError as error:
         raise BadCommandError(f"field {error.args[0]} is missing") from None
     if request_class is None or plan is None:
         raise BadCommandError("unknown class or plan")
-    settings, cls = names.settings, names.settings.classes[request_class]
-    checked = request_class not in names.unchecked and any(c.writes for c in settings.classes)
-    if checked and cls.writes != (name == WRITE):
+    settings, profile = names.settings, names.settings.classes[request_class]
+    checked = request_class not in names.unchecked and any(each.writes for each in settings.classes)
+    if checked and profile.writes != (name == WRITE):
         raise BadCommandError("the class is not for this command")
     key = fields.get("k", "")
-    if not PIECE.fullmatch(piece) or not PIECE.fullmatch(volume.encode()) or not TOKEN.fullmatch(request_id):
+    if (
+        not HEX_ID.fullmatch(piece)
+        or not HEX_ID.fullmatch(volume.encode())
+        or not TOKEN.fullmatch(request_id)
+    ):
         raise BadCommandError("bad piece, volume or id")
-    if (cls.effect is Effect.KEYED or key) and not TOKEN.fullmatch(key.encode()):
+    if (profile.effect is Effect.KEYED or key) and not TOKEN.fullmatch(key.encode()):
         raise BadCommandError("bad key")
-    # Guards the volume: a false size or number of gateways would hold up all its requests.
-    sizes = 0 < units <= settings.max_units and 1 <= gateways <= settings.gateways
-    if not sizes or shard < -1 or shard >= (names.shards or shard + 1) or not 0 < wait_ms <= LONGEST_WAIT_MS:
+    # Protects the volume: a wrong size or gateway count would delay all of its requests.
+    is_in_range = 0 < units <= settings.max_units and 1 <= gateways <= settings.gateways
+    if (
+        not is_in_range
+        or shard < -1
+        or shard >= (names.shards or shard + 1)
+        or not 0 < wait_ms <= MAX_WAIT_MS
+    ):
         raise BadCommandError("a field is out of range")
     command = Command(name, piece, request_id, tuple((key, value) for key, _, value in pairs), tuple(body))
     return Request(
@@ -111,16 +125,16 @@
     )
 
 
-def number(form: re.Pattern[str], text: str) -> str:
-    """Guards against what Python takes for a number and nobody else does, such as 1_0."""
-    if not form.fullmatch(text):
+def number(pattern: re.Pattern[str], text: str) -> str:
+    """Check a number's form; rejects what only Python parses as a number, such as 1_0."""
+    if not pattern.fullmatch(text):
         raise BadCommandError("a field is not a number")
     return text
 
 
-def answer_of(result: Result) -> bytes | tuple[bytes, ...]:
+def encode_result(result: Result) -> bytes | tuple[bytes, ...]:
     if result.verdict is Verdict.SERVED:
-        # In parts: a large value is not copied once more.
+        # Sent in parts to avoid another copy of a large value.
         return b"$%d\r\n" % len(result.value), result.value, b"\r\n"
     if result.verdict is Verdict.REFUSED:
         return resp.error(f"BUSY {-(-result.pause_us // 1000)}" if result.pause_us else "BUSY")
@@ -128,7 +142,7 @@
 
 
 class _Slot:
-    """A command's place in the order of answers."""
+    """A command's position in the order of answers. `parts`: its answer, None until it is known."""
 
     __slots__ = ("id", "lease", "parts", "request")
 
@@ -136,10 +150,12 @@
         self.id = b""
         self.parts: deque[bytes] | None = None if data is None else deque((data,))
         self.request: Request | None = None
-        self.lease: object = None  # held until the answer has left
+        self.lease: object = None  # kept until the whole answer has been output
 
 
 class PlatformSession:
+    """The platform's session of one client connection (see `net.listener.Session`)."""
+
     def __init__(self, engine: Engine, names: Names, counters: Counters, wake: Callable[[], None]) -> None:
         self._engine, self._names, self._counters, self._wake = engine, names, counters, wake
         self.client_left = client_stays
@@ -148,38 +164,40 @@
     def received(self, inbox: Inbox) -> None:
         while not self.full():
             try:
-                found = resp.parse(inbox)
+                value = resp.parse(inbox)
             except resp.ShortError as short:
                 if short.need > INBOX:
                     raise MalformedError(resp.error("ERR Protocol error: command too long")) from None
                 return
             except resp.ProtocolError as error:
                 raise MalformedError(resp.error(f"ERR Protocol error: {error}")) from None
-            match found:
+            match value:
                 case [bytes(), *_] as parts if all(isinstance(part, bytes) for part in parts):
-                    self._command([part for part in parts if isinstance(part, bytes)])
+                    self._handle_command([part for part in parts if isinstance(part, bytes)])
                 case _:
                     raise MalformedError(resp.error("ERR Protocol error: expected an array of bulk strings"))
 
-    def _command(self, parts: list[bytes]) -> None:
+    def _handle_command(self, parts: list[bytes]) -> None:
         name = parts[0].upper()
         if name in (READ, WRITE):
             slot = _Slot()
             try:
-                request = request_of(parts, self._names, lambda result: self._answered(slot, result))
+                request = parse_request(parts, self._names, lambda result: self._set_answer(slot, result))
                 request.client_left = self.client_left
-                # Guards the other request: nodes would take the second for another attempt of the first.
-                if parts[2] in self._names.open:
+                # Protects the open request: nodes would treat this one as another attempt of it.
+                if parts[2] in self._names.open_ids:
                     raise BadCommandError("a request with this id is open")
             except BadCommandError as error:
                 self._counters.add("clients.bad_command")
-                if self._counters["clients.bad_command"] <= LOGGED_BAD:  # a bad client cannot fill the log
+                if (
+                    self._counters["clients.bad_command"] <= MAX_LOGGED_BAD_COMMANDS
+                ):  # keeps a faulty client from filling the log
                     fields = parts[3][:120] if len(parts) > 3 else b""
                     tell(log, ClientCommandError(error), f"bad command {fields!r}")
                 slot.parts = deque((resp.error(f"ERR {error}"),))
             else:
                 slot.request, slot.id = request, parts[2]
-                self._names.open.add(slot.id)
+                self._names.open_ids.add(slot.id)
                 self._engine.submit(request)
             self._slots.append(slot)
         elif name == b"PING" and not self._names.drain.serving:
@@ -194,11 +212,11 @@
         if self._slots[0].parts is not None:
             self._wake()
 
-    def _answered(self, slot: _Slot, result: Result) -> None:
-        parts = answer_of(result)
+    def _set_answer(self, slot: _Slot, result: Result) -> None:
+        parts = encode_result(result)
         slot.parts = deque(parts if isinstance(parts, tuple) else (parts,))
         slot.request, slot.lease = None, result.lease
-        self._names.open.discard(slot.id)
+        self._names.open_ids.discard(slot.id)
         if self._slots and self._slots[0] is slot:
             self._wake()
 
@@ -215,11 +233,11 @@
         return len(self._slots)
 
     def full(self) -> bool:
-        return len(self._slots) >= MOST_PIPELINED
+        return len(self._slots) >= MAX_PIPELINED
 
     def gone(self) -> None:
         for slot in self._slots:
             if slot.request is not None:
                 self._engine.withdraw(slot.request)
-                self._names.open.discard(slot.id)
+                self._names.open_ids.discard(slot.id)
         self._slots.clear()
--- a/stackrouter/fronts/platform/node.py
+++ b/stackrouter/fronts/platform/node.py
@@ -1,4 +1,4 @@
-"""The platform's node side: an attempt to a RESP2 command, and what comes back to an outcome."""
+"""Node side of the platform front: encodes attempts as RESP2 commands and decodes the answers to outcomes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A client's command as it goes on: all unchanged but the `d` in its fields."""
+    """A client's command as forwarded to nodes; only `d` (the wait in ms) in its fields is changed."""
 
     name: bytes
     piece: bytes
@@ -23,34 +23,38 @@
     def exchange(self) -> PlatformExchange:
         return PlatformExchange(self)
 
-    def wire(self, wait_ms: int) -> bytes:
+    def encode(self, wait_ms: int) -> bytes:
         fields = ",".join(f"{name}={wait_ms if name == 'd' else value}" for name, value in self.fields)
         return resp.command(self.name, self.piece, self.id, fields.encode(), *self.body)
 
 
 class PlatformExchange:
+    """One attempt's exchange with a node (see `core.model.Exchange`)."""
+
     def __init__(self, command: Command) -> None:
         self._command = command
         self.needs = 0
 
     def start(self, wait_us: int, fresh: bool) -> Step:
-        return Step(self._command.wire(max(1, -(-wait_us // 1000))), effective=True)
+        return Step(self._command.encode(max(1, -(-wait_us // 1000))), effective=True)
 
     def received(self, inbox: Inbox) -> Reply | None:
         try:
-            return reply_of(resp.parse(inbox, resp.MOST_ANSWER))
+            return parse_reply(resp.parse(inbox, resp.MAX_ANSWER_BYTES))
         except resp.ShortError as short:
             self.needs = short.need
             return None
         except resp.ProtocolError:
-            return Reply(Outcome.ERROR)  # spoilt on its way: the node is there, and has run it
+            return Reply(Outcome.ERROR)  # malformed answer: the node is alive, and has run the request
 
 
-def reply_of(value: resp.Value) -> Reply:
+def parse_reply(value: resp.Value) -> Reply:
     match value:
         case [bytes(data), *figures]:
-            texts = [f for f in figures if isinstance(f, bytes)]
-            exact = len(figures) == 2 and all(f is None or isinstance(f, bytes) for f in figures)
+            texts = [figure for figure in figures if isinstance(figure, bytes)]
+            exact = len(figures) == 2 and all(
+                figure is None or isinstance(figure, bytes) for figure in figures
+            )
             return reply_with(Outcome.DONE, data, texts, exact)
         case resp.ErrorLine(text):
             match text.encode().split(b" "):
--- a/stackrouter/fronts/platform/resp.py
+++ b/stackrouter/fronts/platform/resp.py
@@ -1,4 +1,4 @@
-"""RESP2, as far as the platform speaks it."""
+"""Parser and encoder for the subset of RESP2 that the platform uses."""
 
 from __future__ import annotations
 
@@ -6,24 +6,26 @@
 
 from stackrouter.core.model import Inbox
 
-MOST_BYTES = 64 * 1024  # a value, as agreed
-MOST_ANSWER = 2 * 1024 * 1024  # a node's value: nodes give more than was agreed, and clients take it
-MOST_PARTS = 32  # an array
-MOST_LINE = 1024  # a header or an error line
-HEAD = 2048  # bytes looked at in one go
+MAX_VALUE_BYTES = 64 * 1024  # a client's value, as the protocol specifies
+MAX_ANSWER_BYTES = 2 * 1024 * 1024  # a node's value: nodes exceed the specified size, and clients accept it
+MAX_ARRAY_PARTS = 32
+MAX_LINE_BYTES = 1024  # a header or an error line
+HEAD_BYTES = 2048  # peeked at once
 
 
 class ProtocolError(Exception):
-    """What came is not RESP2, or larger than agreed."""
+    """The received bytes are not RESP2, or exceed a size limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class ErrorLine:
+    """An error answer, without its leading `-`."""
+
     text: str
 
 
 class ShortError(Exception):
-    """It has not all come; it takes this many bytes at least."""
+    """The value is incomplete; `need`: bytes that the inbox must hold at least, 0 if unknown."""
 
     def __init__(self, need: int = 0) -> None:
         super().__init__(need)
@@ -33,45 +35,48 @@
 Value = bytes | int | ErrorLine | None | list["Value"]
 
 
-class _Text:
-    """Received bytes with their beginning at hand: most commands and answers are short."""
+class _InboxView:
+    """Access to the received bytes; caches the first ones, since most commands and answers are short."""
 
-    __slots__ = ("head", "inbox", "most", "size")
+    __slots__ = ("head", "inbox", "max_bulk", "size")
 
-    def __init__(self, inbox: Inbox, most: int) -> None:
-        self.inbox, self.most = inbox, most
-        self.head, self.size = inbox.peek(0, HEAD), len(inbox)
+    def __init__(self, inbox: Inbox, max_bulk: int) -> None:
+        self.inbox, self.max_bulk = inbox, max_bulk
+        self.head, self.size = inbox.peek(0, HEAD_BYTES), len(inbox)
 
     def part(self, at: int, length: int) -> bytes:
         end = at + length
         return self.head[at:end] if end <= len(self.head) else self.inbox.peek(at, length)
 
     def line(self, at: int) -> tuple[bytes, int]:
-        end = self.head.find(b"\r\n", at, at + MOST_LINE)
+        end = self.head.find(b"\r\n", at, at + MAX_LINE_BYTES)
         if end >= 0:
             return self.head[at:end], end + 2
-        text = self.inbox.peek(at, MOST_LINE)
+        text = self.inbox.peek(at, MAX_LINE_BYTES)
         if (end := text.find(b"\r\n")) >= 0:
             return text[:end], at + end + 2
-        if len(text) == MOST_LINE:
+        if len(text) == MAX_LINE_BYTES:
             raise ProtocolError("line too long")
         raise ShortError
 
 
-def parse(inbox: Inbox, most: int = MOST_BYTES) -> Value:
-    """The first whole value, taken out of the inbox; raises ShortError while it has not all come."""
-    value, end = _value(_Text(inbox, most), 0, 0)
+def parse(inbox: Inbox, max_bulk: int = MAX_VALUE_BYTES) -> Value:
+    """Remove the first complete value from the inbox and return it; ShortError while it is incomplete.
+
+    `max_bulk`: most bytes of a bulk string; ProtocolError if it is longer.
+    """
+    value, end = _value(_InboxView(inbox, max_bulk), 0, 0)
     inbox.skip(end)
     return value
 
 
-def _value(text: _Text, at: int, depth: int) -> tuple[Value, int]:
-    line, at = text.line(at)
+def _value(view: _InboxView, at: int, depth: int) -> tuple[Value, int]:
+    line, at = view.line(at)
     kind, rest = line[:1], line[1:]
     if kind == b"$":
-        return _bulk(text, _number(rest), at)
+        return _bulk(view, _number(rest), at)
     if kind == b"*" and depth < 2:
-        return _array(text, _number(rest), at, depth)
+        return _array(view, _number(rest), at, depth)
     if kind == b"-":
         return ErrorLine(rest.decode("ascii", "replace")), at
     if kind == b"+":
@@ -81,27 +86,27 @@
     raise ProtocolError(f"unexpected byte {kind!r}")
 
 
-def _bulk(text: _Text, length: int, at: int) -> tuple[Value, int]:
+def _bulk(view: _InboxView, length: int, at: int) -> tuple[Value, int]:
     if length == -1:
         return None, at
-    if not 0 <= length <= text.most:
+    if not 0 <= length <= view.max_bulk:
         raise ProtocolError("invalid bulk length")
     end = at + length + 2
-    if text.size < end:
+    if view.size < end:
         raise ShortError(end)
-    if text.part(end - 2, 2) != b"\r\n":
+    if view.part(end - 2, 2) != b"\r\n":
         raise ProtocolError("bulk string without its end")
-    return text.part(at, length), end
+    return view.part(at, length), end
 
 
-def _array(text: _Text, count: int, at: int, depth: int) -> tuple[Value, int]:
+def _array(view: _InboxView, count: int, at: int, depth: int) -> tuple[Value, int]:
     if count == -1:
         return None, at
-    if not 0 <= count <= MOST_PARTS:
+    if not 0 <= count <= MAX_ARRAY_PARTS:
         raise ProtocolError("invalid multibulk length")
     parts: list[Value] = []
     for _ in range(count):
-        part, at = _value(text, at, depth + 1)
+        part, at = _value(view, at, depth + 1)
         parts.append(part)
     return parts, at
 
--- a/stackrouter/fronts/sftp/__init__.py
+++ b/stackrouter/fronts/sftp/__init__.py
@@ -1,1 +1,1 @@
-"""The SFTP front: file commands of SFTP version 3 over plain TCP, without the cryptography."""
+"""The SFTP front: file commands of SFTP version 3 over plain TCP, without SSH."""
--- a/stackrouter/fronts/sftp/client.py
+++ b/stackrouter/fronts/sftp/client.py
@@ -1,6 +1,6 @@
-"""The SFTP front's client side: packets to core requests, results to packets, one for each request id.
+"""Client side of the SFTP front: converts packets to core requests, and results to one packet per request id.
 
-Handles are the gateway's own (a path and flags, or a listing); no node keeps anything open for a client.
+Handles exist in the gateway only (a path and flags, or a listing); nodes keep nothing open for a client.
 """
 
 from __future__ import annotations
@@ -17,53 +17,57 @@
 from stackrouter.core.model import Inbox, Request, Result, Verdict, client_stays
 from stackrouter.fronts.sftp import packets
 from stackrouter.fronts.sftp.config import SftpConfig, Volume
-from stackrouter.fronts.sftp.keys import ATTRIBUTES, EXISTENCE, WHOLE, Keys, Reach, overlap
+from stackrouter.fronts.sftp.keys import ATTRIBUTES, EXISTENCE, WHOLE, Extent, Keys, overlap
 from stackrouter.fronts.sftp.node import Operation
 from stackrouter.fronts.sftp.packets import Fields, Flag, Packet, Status, Type, string, u32, u64
 from stackrouter.net.listener import MalformedError, Patience
 
 WIRE = "sftp"
-PATIENCE = Patience(request_s=10.0, idle_s=600.0)  # a session has handles to lose: people use it, with pauses
-MOST_PENDING = 32  # requests of one connection that may wait for their answers
-MOST_HANDLES = 256
-MOST_NAMES = 32 * 1024  # bytes of names in one answer to READDIR
-MOST_PATH = 4096
-TIMEOUT_SLACK_US = 20_000  # a failure this close to the deadline came of time running out
-HAS_SIZE = 1
-DIRECTORY = u32(4) + u32(0o40555)  # attributes: permissions only
-ANYWHERE: Reach = (-10, -9)  # a read that minds no change
+# Closing a connection loses the session's handles, and people pause between commands.
+PATIENCE = Patience(request_s=10.0, idle_s=600.0)
+MAX_PENDING = 32  # requests of one connection that may wait for their answers
+MAX_HANDLES = 256
+MAX_READDIR_BYTES = 32 * 1024  # of entries in one answer to READDIR
+MAX_PATH_BYTES = 4096
+TIMEOUT_SLACK_US = 20_000  # a failure this close to the deadline is reported as a timeout
+ATTR_SIZE = 1  # flag of file attributes: the size is present
+DIRECTORY_ATTRS = u32(4) + u32(0o40555)  # attributes: permissions only
+NO_EXTENT: Extent = (-10, -9)  # overlaps no other extent: the operation waits for no change
 
-Finish = Callable[[Packet], tuple[Type, bytes]]  # what a node's answer becomes for the client
+AnswerConverter = Callable[[Packet], tuple[Type, bytes]]  # converts a node's answer to the client's
 
 
 @dataclass(slots=True, eq=False)
 class Handle:
+    """An open file or, if `names` is set, an open directory."""
+
     path: str
     flags: int = 0
-    names: deque[bytes] | None = None  # what is left of a listing, an entry each
-    truncate: bool = False  # CLOSE cuts the file where the writes ended
-    end: int = 0
+    names: deque[bytes] | None = None  # encoded entries of a listing that READDIR has not returned yet
+    truncate: bool = False  # CLOSE truncates the file to `end`
+    end: int = 0  # end of the farthest write
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request that goes to a node, with what it touches: overlapping ones go in order."""
+    """A request to nodes with the paths and extent that it touches; overlapping changes keep their order."""
 
     id: int
     paths: tuple[str, ...]
-    reach: Reach
-    change: bool
+    extent: Extent
+    is_change: bool
     request: Request
-    finish: Finish
+    convert_answer: AnswerConverter
     started: bool = False
 
-    def after(self, other: Job) -> bool:
+    def must_follow(self, other: Job) -> bool:
+        """Whether this job must wait for the earlier `other` one."""
         touches = any(path in other.paths for path in self.paths)
-        return touches and (self.change or other.change) and overlap(self.reach, other.reach)
+        return touches and (self.is_change or other.is_change) and overlap(self.extent, other.extent)
 
 
 class RequestError(Exception):
-    """Answered with a status; the connection goes on."""
+    """The request is answered with a STATUS packet; the connection stays open."""
 
     def __init__(self, code: Status, text: str) -> None:
         super().__init__(text)
@@ -72,7 +76,7 @@
 
 @dataclass(slots=True)
 class Shared:
-    """What the sessions of one front have in common."""
+    """State shared by all sessions of the front."""
 
     config: SftpConfig
     engine: Engine
@@ -84,16 +88,18 @@
 
 
 class SftpSession:
+    """The SFTP session of one client connection (see `net.listener.Session`)."""
+
     def __init__(self, shared: Shared, wake: Callable[[], None]) -> None:
         self._shared, self._wake = shared, wake
         self.client_left = client_stays
         self._ready: deque[bytes] = deque()
         self._jobs: list[Job] = []
         self._handles: dict[bytes, Handle] = {}
-        self._made = 0
-        self._greeted = False
+        self._last_handle = 0
+        self._is_initialized = False
 
-    # --- what the listener asks
+    # --- the Session protocol
 
     def received(self, inbox: Inbox) -> None:
         while not self.full():
@@ -101,7 +107,7 @@
                 packet = packets.take(inbox)
                 if packet is None:
                     return
-                self._packet(packet)
+                self._handle_packet(packet)
             except (packets.PacketError, struct.error):
                 raise MalformedError from None
             self._wake()
@@ -113,7 +119,7 @@
         return len(self._jobs) + len(self._ready)
 
     def full(self) -> bool:
-        return self.pending() >= MOST_PENDING
+        return self.pending() >= MAX_PENDING
 
     def gone(self) -> None:
         for job in self._jobs:
@@ -121,17 +127,17 @@
                 self._shared.engine.withdraw(job.request)
         self._jobs.clear()
 
-    # --- packets in
+    # --- received packets
 
-    def _packet(self, packet: Packet) -> None:
-        if not self._greeted:
+    def _handle_packet(self, packet: Packet) -> None:
+        if not self._is_initialized:
             if packet.type != Type.INIT or Fields(packet.body).u32() < packets.VERSION:
                 raise packets.PacketError("the first packet must be INIT")
-            self._greeted = True
+            self._is_initialized = True
             self._ready.append(Packet(Type.VERSION, u32(packets.VERSION)).encode())
             return
         if packet.type == Type.INIT:
-            raise packets.PacketError("a second INIT")
+            raise packets.PacketError("INIT is repeated")
         answer = HANDLERS.get(packet.type)
         try:
             if answer is None:
@@ -152,19 +158,23 @@
         self,
         request_id: int,
         operation: Operation,
-        reach: Reach,
-        finish: Finish,
+        extent: Extent,
+        convert_answer: AnswerConverter,
         change: bytes | None = None,
         size: int = 0,
         other: str | None = None,
     ) -> None:
-        """Hand an operation to the core; `change` is what the key of a change is made from."""
+        """Submit an operation to the core.
+
+        `change`: content that the idempotency key of a change is derived from, None for a read; `size`: bytes
+        of data; `other`: a second path that the operation touches.
+        """
         config, now = self._shared.config, clock_us()
         path = operation.path.decode()
         volume = self._volume(path)
         paths = (path,) if other is None else (path, other)
         if change is not None:
-            keys = [self._shared.keys.key(p.encode(), change, reach, now) for p in paths]
+            keys = [self._shared.keys.key(each.encode(), change, extent, now) for each in paths]
             operation = Operation(
                 operation.type, operation.path, operation.rest, operation.open_flags, keys[0]
             )
@@ -174,9 +184,9 @@
         job = Job(
             id=request_id,
             paths=paths,
-            reach=reach,
-            change=change is not None,
-            finish=finish,
+            extent=extent,
+            is_change=change is not None,
+            convert_answer=convert_answer,
             request=Request(
                 request_class=config.read_class if change is None else config.write_class,
                 plan=volume.plan,
@@ -187,7 +197,7 @@
                 key=path,
                 deadline_us=now + wait_us,
                 exchange=operation.exchange,
-                answer=lambda result: self._done(job, result),
+                answer=lambda result: self._finish(job, result),
                 wire=WIRE,
                 write=change is not None,
                 port=config.node_port,
@@ -198,24 +208,24 @@
         self._start(job)
 
     def _start(self, job: Job) -> None:
-        """Requests for the same part of a file are carried out in the order in which they came."""
+        """Submit the job unless it must follow an earlier one: overlapping changes run in order of arrival."""
         before = self._jobs[: self._jobs.index(job)]
-        if not job.started and not any(job.after(other) for other in before):
+        if not job.started and not any(job.must_follow(other) for other in before):
             job.started = True
             self._shared.engine.submit(job.request)
 
-    def _done(self, job: Job, result: Result) -> None:
+    def _finish(self, job: Job, result: Result) -> None:
         if job not in self._jobs:
             return
         self._jobs.remove(job)
-        self._answer(job.id, self._outcome(job, result))
+        self._answer(job.id, self._result_answer(job, result))
         for other in list(self._jobs):
             self._start(other)
         self._wake()
 
-    def _outcome(self, job: Job, result: Result) -> tuple[Type, bytes]:
+    def _result_answer(self, job: Job, result: Result) -> tuple[Type, bytes]:
         if result.verdict is Verdict.SERVED:
-            return job.finish(result.value)
+            return job.convert_answer(result.value)
         if result.verdict is Verdict.REFUSED:
             pause = -(-result.pause_us // 1000)
             return packets.status(
@@ -232,7 +242,7 @@
             text = raw.decode("utf-8")
         except UnicodeDecodeError:
             raise RequestError(Status.NO_SUCH_FILE, "bad path: not UTF-8") from None
-        if "\0" in text or len(raw) > MOST_PATH:
+        if "\0" in text or len(raw) > MAX_PATH_BYTES:
             raise RequestError(Status.NO_SUCH_FILE, "bad path")
         return posixpath.normpath("/" + text.lstrip("/"))
 
@@ -242,17 +252,17 @@
             raise RequestError(Status.NO_SUCH_FILE, "bad path: it lies in no volume")
         return volume
 
-    def _handle(self, fields: Fields, need: int = 0) -> Handle:
+    def _find_handle(self, fields: Fields, need: int = 0) -> Handle:
         handle = self._handles.get(fields.string())
         if handle is None or handle.flags & need != need:
             raise RequestError(Status.FAILURE, "bad handle")
         return handle
 
-    def _opened(self, handle: Handle) -> tuple[Type, bytes]:
-        if len(self._handles) >= MOST_HANDLES:
+    def _add_handle(self, handle: Handle) -> tuple[Type, bytes]:
+        if len(self._handles) >= MAX_HANDLES:
             return packets.status(Status.FAILURE, "too many handles")
-        self._made += 1
-        name = u64(self._made)
+        self._last_handle += 1
+        name = u64(self._last_handle)
         self._handles[name] = handle
         return Type.HANDLE, string(name)
 
@@ -262,16 +272,16 @@
         path, flags, attrs = self._path(fields.string()), fields.u32(), fields.attrs()
         if flags & Flag.APPEND or not flags & (Flag.READ | Flag.WRITE):
             raise RequestError(Status.OP_UNSUPPORTED, "these flags are not supported")
-        # Guards a resent upload: cutting the file at its opening would be one more change that a repeat must
-        # not make. The file is cut at CLOSE, where the writes ended.
+        # Truncating at OPEN would be a further change that a resent upload must not repeat. The file is
+        # truncated at CLOSE instead, to the end of the writes.
         handle = Handle(path, flags, truncate=bool(flags & Flag.TRUNC and flags & Flag.WRITE))
-        at_node = flags & ~Flag.TRUNC
-        makes = b"open %d " % at_node + attrs if flags & Flag.CREAT else None
-        operation = Operation(Type.OPEN, path.encode(), attrs, open_flags=at_node)
-        self._submit(request_id, operation, EXISTENCE, partial(self._open_done, handle), makes)
+        node_flags = flags & ~Flag.TRUNC
+        create_content = b"open %d " % node_flags + attrs if flags & Flag.CREAT else None
+        operation = Operation(Type.OPEN, path.encode(), attrs, open_flags=node_flags)
+        self._submit(request_id, operation, EXISTENCE, partial(self._open_done, handle), create_content)
 
     def _open_done(self, handle: Handle, answer: Packet) -> tuple[Type, bytes]:
-        return self._opened(handle) if answer.type == Type.HANDLE else passed(answer)
+        return self._add_handle(handle) if answer.type == Type.HANDLE else forward_answer(answer)
 
     def _close(self, request_id: int, fields: Fields) -> tuple[Type, bytes] | None:
         name = fields.string()
@@ -280,117 +290,117 @@
             raise RequestError(Status.FAILURE, "bad handle")
         if not handle.truncate:
             return packets.status(Status.OK)
-        attrs = u32(HAS_SIZE) + u64(handle.end)
-        self._set(request_id, handle.path, attrs)
+        attrs = u32(ATTR_SIZE) + u64(handle.end)
+        self._submit_setstat(request_id, handle.path, attrs)
         return None
 
     def _read(self, request_id: int, fields: Fields) -> None:
-        handle, offset = self._handle(fields, Flag.READ), fields.u64()
-        length = min(fields.u32(), packets.MOST_DATA)
+        handle, offset = self._find_handle(fields, Flag.READ), fields.u64()
+        length = min(fields.u32(), packets.MAX_DATA_BYTES)
         operation = Operation(Type.READ, handle.path.encode(), b"", Flag.READ, read_from=(offset, length))
-        self._submit(request_id, operation, (offset, offset + length), passed, size=length)
+        self._submit(request_id, operation, (offset, offset + length), forward_answer, size=length)
 
     def _write(self, request_id: int, fields: Fields) -> None:
-        handle, offset, data = self._handle(fields, Flag.WRITE), fields.u64(), fields.string()
-        if len(data) > packets.MOST_DATA:
+        handle, offset, data = self._find_handle(fields, Flag.WRITE), fields.u64(), fields.string()
+        if len(data) > packets.MAX_DATA_BYTES:
             raise RequestError(Status.FAILURE, "too much data at once")
         end = offset + len(data)
         handle.end = max(handle.end, end)
         rest = u64(offset) + string(data)
         operation = Operation(Type.WRITE, handle.path.encode(), rest, Flag.WRITE)
-        self._submit(request_id, operation, (offset, end), passed, b"write " + rest, len(data))
+        self._submit(request_id, operation, (offset, end), forward_answer, b"write " + rest, len(data))
 
     def _stat(self, kind: Type, request_id: int, fields: Fields) -> tuple[Type, bytes] | None:
         path = self._path(fields.string())
-        if self._above(path):
-            return Type.ATTRS, DIRECTORY
-        self._stat_path(kind, request_id, path)
+        if self._is_above_volumes(path):
+            return Type.ATTRS, DIRECTORY_ATTRS
+        self._submit_stat(kind, request_id, path)
         return None
 
-    def _stat_path(self, kind: Type, request_id: int, path: str) -> None:
-        self._submit(request_id, Operation(kind, path.encode()), WHOLE, passed)
+    def _submit_stat(self, kind: Type, request_id: int, path: str) -> None:
+        self._submit(request_id, Operation(kind, path.encode()), WHOLE, forward_answer)
 
     def _fstat(self, request_id: int, fields: Fields) -> None:
-        self._stat_path(Type.STAT, request_id, self._handle(fields).path)
+        self._submit_stat(Type.STAT, request_id, self._find_handle(fields).path)
 
     def _setstat(self, request_id: int, fields: Fields) -> None:
-        self._set(request_id, self._path(fields.string()), fields.attrs())
+        self._submit_setstat(request_id, self._path(fields.string()), fields.attrs())
 
     def _fsetstat(self, request_id: int, fields: Fields) -> None:
-        self._set(request_id, self._handle(fields).path, fields.attrs())
+        self._submit_setstat(request_id, self._find_handle(fields).path, fields.attrs())
 
-    def _set(self, request_id: int, path: str, attrs: bytes) -> None:
-        sized = Fields(attrs).u32() & HAS_SIZE
-        reach = (float(int.from_bytes(attrs[4:12], "big")), WHOLE[1]) if sized else ATTRIBUTES
+    def _submit_setstat(self, request_id: int, path: str, attrs: bytes) -> None:
+        sets_size = Fields(attrs).u32() & ATTR_SIZE
+        extent = (float(int.from_bytes(attrs[4:12], "big")), WHOLE[1]) if sets_size else ATTRIBUTES
         operation = Operation(Type.SETSTAT, path.encode(), attrs)
-        self._submit(request_id, operation, reach, passed, b"set " + attrs)
+        self._submit(request_id, operation, extent, forward_answer, b"set " + attrs)
 
     def _opendir(self, request_id: int, fields: Fields) -> tuple[Type, bytes] | None:
         path = self._path(fields.string())
-        if self._above(path):
+        if self._is_above_volumes(path):
             names = self._shared.config.names_below(path)
-            return self._opened(Handle(path, names=deque(entry(name) for name in names)))
+            return self._add_handle(Handle(path, names=deque(name_entry(name) for name in names)))
         self._submit(
-            request_id, Operation(Type.OPENDIR, path.encode()), ANYWHERE, partial(self._listed, path)
+            request_id, Operation(Type.OPENDIR, path.encode()), NO_EXTENT, partial(self._listed, path)
         )
         return None
 
     def _listed(self, path: str, answer: Packet) -> tuple[Type, bytes]:
         if answer.type != Type.NAME:
-            return passed(answer)
+            return forward_answer(answer)
         fields, names = Fields(answer.body), deque[bytes]()
         for _ in range(fields.u32()):
             names.append(string(fields.string()) + string(fields.string()) + fields.attrs())
-        return self._opened(Handle(path, names=names))
+        return self._add_handle(Handle(path, names=names))
 
     def _readdir(self, request_id: int, fields: Fields) -> tuple[Type, bytes]:
-        names = self._handle(fields).names
+        names = self._find_handle(fields).names
         if names is None:
             raise RequestError(Status.FAILURE, "bad handle")
         if not names:
             return packets.status(Status.EOF)
         part = [names.popleft()]
-        while names and sum(map(len, part)) + len(names[0]) <= MOST_NAMES:
+        while names and sum(map(len, part)) + len(names[0]) <= MAX_READDIR_BYTES:
             part.append(names.popleft())
         return Type.NAME, u32(len(part)) + b"".join(part)
 
-    def _change_path(self, kind: Type, reach: Reach, request_id: int, fields: Fields) -> None:
-        """REMOVE, RMDIR and MKDIR."""
+    def _change_path(self, kind: Type, extent: Extent, request_id: int, fields: Fields) -> None:
+        """Handles REMOVE, RMDIR and MKDIR."""
         path = self._path(fields.string())
         attrs = fields.attrs() if kind == Type.MKDIR else b""
         operation = Operation(kind, path.encode(), attrs)
-        self._submit(request_id, operation, reach, passed, b"%d " % kind + attrs)
+        self._submit(request_id, operation, extent, forward_answer, b"%d " % kind + attrs)
 
     def _rename(self, request_id: int, fields: Fields) -> None:
         old, new = self._path(fields.string()), self._path(fields.string())
         if self._volume(old) != self._volume(new):
             raise RequestError(Status.OP_UNSUPPORTED, "the paths lie in different volumes")
         operation = Operation(Type.RENAME, old.encode(), string(new.encode()))
-        self._submit(request_id, operation, WHOLE, passed, b"rename " + string(old.encode()) + new.encode(),
-                     other=new)  # fmt: skip
+        self._submit(request_id, operation, WHOLE, forward_answer,
+                     b"rename " + string(old.encode()) + new.encode(), other=new)  # fmt: skip
 
     def _realpath(self, request_id: int, fields: Fields) -> tuple[Type, bytes]:
-        return Type.NAME, u32(1) + entry(self._path(fields.string()))
+        return Type.NAME, u32(1) + name_entry(self._path(fields.string()))
 
-    def _above(self, path: str) -> bool:
-        """A directory that only the gateway knows: it lies above the volumes."""
+    def _is_above_volumes(self, path: str) -> bool:
+        """Whether the path is a directory above the volumes, which only the gateway knows."""
         config = self._shared.config
         return config.volume_of(path) is None and bool(config.names_below(path))
 
 
-def entry(name: str) -> bytes:
-    return string(name.encode()) * 2 + DIRECTORY
+def name_entry(name: str) -> bytes:
+    return string(name.encode()) * 2 + DIRECTORY_ATTRS
 
 
-def passed(answer: Packet) -> tuple[Type, bytes]:
-    """A node's answer goes on as it is, under the client's id."""
+def forward_answer(answer: Packet) -> tuple[Type, bytes]:
+    """Forward a node's answer unchanged, under the client's request id."""
     return Type(answer.type), answer.body
 
 
 Handler = Callable[[SftpSession, int, Fields], tuple[Type, bytes] | None]
 
 
-def _with(method: Callable[..., tuple[Type, bytes] | None], *first: object) -> Handler:
+def _bind(method: Callable[..., tuple[Type, bytes] | None], *first: object) -> Handler:
     return lambda session, request_id, fields: method(session, *first, request_id, fields)
 
 
@@ -399,16 +409,16 @@
     Type.CLOSE: SftpSession._close,
     Type.READ: SftpSession._read,
     Type.WRITE: SftpSession._write,
-    Type.STAT: _with(SftpSession._stat, Type.STAT),
-    Type.LSTAT: _with(SftpSession._stat, Type.LSTAT),
+    Type.STAT: _bind(SftpSession._stat, Type.STAT),
+    Type.LSTAT: _bind(SftpSession._stat, Type.LSTAT),
     Type.FSTAT: SftpSession._fstat,
     Type.SETSTAT: SftpSession._setstat,
     Type.FSETSTAT: SftpSession._fsetstat,
     Type.OPENDIR: SftpSession._opendir,
     Type.READDIR: SftpSession._readdir,
-    Type.REMOVE: _with(SftpSession._change_path, Type.REMOVE, WHOLE),
-    Type.RMDIR: _with(SftpSession._change_path, Type.RMDIR, WHOLE),
-    Type.MKDIR: _with(SftpSession._change_path, Type.MKDIR, EXISTENCE),
+    Type.REMOVE: _bind(SftpSession._change_path, Type.REMOVE, WHOLE),
+    Type.RMDIR: _bind(SftpSession._change_path, Type.RMDIR, WHOLE),
+    Type.MKDIR: _bind(SftpSession._change_path, Type.MKDIR, EXISTENCE),
     Type.RENAME: SftpSession._rename,
     Type.REALPATH: SftpSession._realpath,
 }
--- a/stackrouter/fronts/sftp/config.py
+++ b/stackrouter/fronts/sftp/config.py
@@ -1,4 +1,4 @@
-"""The operator's file for the SFTP front: what it listens on, and which paths lie in which volume."""
+"""Settings of the SFTP front, from the operator's file: listening address, classes, and volumes by path."""
 
 from __future__ import annotations
 
@@ -16,6 +16,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Volume:
+    """A volume and the path prefix that it serves. `plan`: index into the settings' plans."""
+
     prefix: str
     volume: str
     plan: int
@@ -25,6 +27,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SftpConfig:
+    """Checked settings; classes are indexes into the settings' classes."""
+
     listen: tuple[str, int]
     node_port: int
     read_class: int
@@ -36,20 +40,25 @@
     volumes: tuple[Volume, ...]  # longest prefix first
 
     def volume_of(self, path: str) -> Volume | None:
+        """The volume with the longest prefix that contains the path."""
         for volume in self.volumes:
             if path == volume.prefix or path.startswith(volume.prefix.rstrip("/") + "/"):
                 return volume
         return None
 
     def names_below(self, path: str) -> list[str]:
-        """The next parts of prefixes below a path that lies above them; empty where there are none."""
+        """Names of the directories that lead from `path` down to volumes; empty if there are none."""
         base = path.rstrip("/") + "/"
-        below = {v.prefix[len(base) :].split("/")[0] for v in self.volumes if v.prefix.startswith(base)}
+        below = {
+            each.prefix[len(base) :].split("/")[0] for each in self.volumes if each.prefix.startswith(base)
+        }
         return sorted(name for name in below if name)
 
 
 def settings(config: Config, sftp: Sftp) -> SftpConfig | None:
-    """None while the front is off. ConfigError: a class or plan that the platform's settings do not name."""
+    """Check the operator's settings; None if the front is disabled. Raises ConfigError for an unknown class
+    or plan.
+    """
     if not sftp.enabled:
         return None
     read = _index(config.classes, sftp.read_class, "sftp.read_class")
--- a/stackrouter/fronts/sftp/node.py
+++ b/stackrouter/fronts/sftp/node.py
@@ -1,8 +1,8 @@
-"""The SFTP front's node side: each attempt is a talk of its own that leaves nothing open at the node.
+"""Node side of the SFTP front: each attempt is an exchange of its own that leaves nothing open at the node.
 
-Every talk begins with an extended request, `attempt@stackrouter`, with the idempotency key (empty for reads)
-and the time that the gateway will wait. A node that knows it drops repeats of a key and may answer `busy`
-before anything has run; others answer OP_UNSUPPORTED, and the talk goes on without.
+Every exchange begins with an extended request, `attempt@stackrouter`, with the idempotency key (empty for
+reads) and the time that the gateway will wait. A node that supports it drops repeats of a key and may answer
+`busy` before anything has run; others answer OP_UNSUPPORTED, and the exchange continues without it.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 ATTEMPT = b"attempt@stackrouter"
 BUSY = b"busy"
-MOST_LISTING = 256 * 1024  # names of one directory, in bytes
+MAX_LISTING_BYTES = 256 * 1024  # of the entries of one directory
 
-Talk = Generator[Step, Packet, Reply]
+ExchangeSteps = Generator[Step, Packet, Reply]
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """What an attempt asks of a node. `open_flags` where it needs a handle of the node's own."""
+    """What an attempt asks of a node. `open_flags`: set if it must open a handle at the node."""
 
     type: Type
     path: bytes
-    rest: bytes = b""  # what follows the path, or with `open_flags` the handle
+    rest: bytes = b""  # fields after the path, or after the handle with `open_flags`
     open_flags: int = 0
     key: str = ""
     read_from: tuple[int, int] | None = None  # of a READ: offset and length
@@ -39,48 +39,50 @@
 
 
 class SftpExchange:
+    """One attempt's exchange with a node (see `core.model.Exchange`)."""
+
     def __init__(self, operation: Operation) -> None:
         self._operation, self._id = operation, 0
-        self.needs = 0  # packets are bounded
-        self._talk: Talk | None = None
+        self.needs = 0  # packets are bounded: no larger inbox is needed
+        self._steps: ExchangeSteps | None = None
 
     def start(self, wait_us: int, fresh: bool) -> Step:
-        self._talk = self._run(wait_us, fresh)
-        return next(self._talk)
+        self._steps = self._run(wait_us, fresh)
+        return next(self._steps)
 
     def received(self, inbox: Inbox) -> Step | Reply | None:
-        assert self._talk is not None
+        assert self._steps is not None
         try:
             packet = packets.take(inbox)
             if packet is None:
                 return None
             if packet.type != Type.VERSION and packet.id != self._id:
-                raise packets.PacketError(f"an answer to {packet.id}, not to {self._id}")
-            return self._talk.send(packet)
+                raise packets.PacketError(f"answer has id {packet.id}, expected {self._id}")
+            return self._steps.send(packet)
         except StopIteration as end:
             reply: Reply = end.value
             return reply
         except packets.PacketError:
-            return Reply(Outcome.ERROR)  # spoilt on its way: the node is there, and may have run it
+            return Reply(Outcome.ERROR)  # malformed answer: the node is alive, and may have run the operation
 
     def _step(self, kind: Type, body: bytes, effective: bool = True) -> Step:
         self._id += 1
         return Step(Packet(kind, body, self._id).encode(), effective)
 
-    def _run(self, wait_us: int, fresh: bool) -> Talk:
+    def _run(self, wait_us: int, fresh: bool) -> ExchangeSteps:
         operation = self._operation
         if fresh:
-            hello = yield Step(Packet(Type.INIT, u32(packets.VERSION)).encode(), effective=False)
-            if hello.type != Type.VERSION:
-                raise packets.PacketError("no VERSION")
-        about = string(ATTEMPT) + string(operation.key.encode()) + u32(max(1, -(-wait_us // 1000)))
-        taken = yield self._step(Type.EXTENDED, about, effective=False)
+            greeting = yield Step(Packet(Type.INIT, u32(packets.VERSION)).encode(), effective=False)
+            if greeting.type != Type.VERSION:
+                raise packets.PacketError("INIT was not answered with VERSION")
+        attempt_info = string(ATTEMPT) + string(operation.key.encode()) + u32(max(1, -(-wait_us // 1000)))
+        accepted = yield self._step(Type.EXTENDED, attempt_info, effective=False)
         figures = []
-        if taken.type == Type.EXTENDED_REPLY:
-            figures = [Fields(taken.body).string()]
-        elif status_of(taken) is None:
-            raise packets.PacketError("neither a reply nor a status")
-        elif is_busy(taken):
+        if accepted.type == Type.EXTENDED_REPLY:
+            figures = [Fields(accepted.body).string()]
+        elif status_of(accepted) is None:
+            raise packets.PacketError("EXTENDED was answered with neither EXTENDED_REPLY nor STATUS")
+        elif is_busy(accepted):
             return Reply(Outcome.FULL, exact=True)
         if operation.type == Type.OPENDIR:
             answer = yield from self._list()
@@ -88,7 +90,7 @@
             answer = yield from self._with_handle()
         else:
             answer = yield self._step(operation.type, string(operation.path) + operation.rest)
-        # FAILURE says nothing of what was done; the other statuses are answers.
+        # FAILURE does not tell what was done; all other statuses are results.
         failed = status_of(answer) == Status.FAILURE
         return reply_with(Outcome.ERROR if failed else Outcome.DONE, answer, figures, True)
 
@@ -106,11 +108,11 @@
         elif operation.type == Type.WRITE:
             answer = yield self._step(Type.WRITE, handle + operation.rest)
         closed = yield self._step(Type.CLOSE, handle)
-        # A write is done once its handle is closed without an error.
+        # A write has succeeded only when its handle is closed without an error.
         return closed if operation.type == Type.WRITE and succeeded(answer) else answer
 
     def _list(self) -> Generator[Step, Packet, Packet]:
-        """The whole directory in one attempt, so that no part of it is asked of a node later."""
+        """Fetch the whole directory in one attempt, so that READDIR needs no further request to a node."""
         opened = yield self._step(Type.OPENDIR, string(self._operation.path))
         if opened.type != Type.HANDLE:
             return opened
@@ -118,7 +120,7 @@
         count, names = 0, bytearray()
         while True:
             part = yield self._step(Type.READDIR, handle)
-            if part.type != Type.NAME or len(names) > MOST_LISTING:
+            if part.type != Type.NAME or len(names) > MAX_LISTING_BYTES:
                 break
             count += Fields(part.body).u32()
             names += part.body[4:]
--- a/stackrouter/fronts/sftp/packets.py
+++ b/stackrouter/fronts/sftp/packets.py
@@ -9,8 +9,8 @@
 from stackrouter.core.model import Inbox
 
 VERSION = 3
-MOST_DATA = 64 * 1024  # of one READ or WRITE
-MOST_PACKET = MOST_DATA + 8 * 1024  # data with its path, handle and attributes
+MAX_DATA_BYTES = 64 * 1024  # of one READ or WRITE
+MAX_PACKET_BYTES = MAX_DATA_BYTES + 8 * 1024  # data with its path, handle and attributes
 
 
 class Type(IntEnum):
@@ -61,28 +61,30 @@
 
 
 class PacketError(Exception):
-    """A length or a packet that cannot be followed."""
+    """A packet is malformed, or its length is out of bounds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
+    """One SFTP packet without its length. `id`: the request id, 0 for INIT and VERSION."""
+
     type: int
-    body: bytes  # what follows the type and, but for INIT and VERSION, the id
+    body: bytes  # what follows the type and the id; INIT and VERSION have no id
     id: int = 0
 
     def encode(self) -> bytes:
-        numbered = self.type not in (Type.INIT, Type.VERSION)
-        head = struct.pack(">BI", self.type, self.id) if numbered else struct.pack(">B", self.type)
-        return u32(len(head) + len(self.body)) + head + self.body
+        has_id = self.type not in (Type.INIT, Type.VERSION)
+        header = struct.pack(">BI", self.type, self.id) if has_id else struct.pack(">B", self.type)
+        return u32(len(header) + len(self.body)) + header + self.body
 
 
 def take(inbox: Inbox) -> Packet | None:
-    """The first whole packet, taken out of the inbox; None while it has not all come."""
+    """Remove the first complete packet from the inbox and return it; None while it is incomplete."""
     if len(inbox) < 4:
         return None
     (length,) = struct.unpack(">I", inbox.peek(0, 4))
-    if not 1 <= length <= MOST_PACKET:
-        raise PacketError(f"length {length}")
+    if not 1 <= length <= MAX_PACKET_BYTES:
+        raise PacketError(f"packet length {length} is out of bounds")
     if len(inbox) < 4 + length:
         return None
     data = inbox.peek(4, length)
@@ -90,7 +92,7 @@
     if data[0] in (Type.INIT, Type.VERSION):
         return Packet(data[0], data[1:])
     if length < 5:
-        raise PacketError("no id")
+        raise PacketError("packet has no request id")
     return Packet(data[0], data[5:], struct.unpack(">I", data[1:5])[0])
 
 
@@ -107,21 +109,21 @@
 
 
 def status(code: Status, text: str = "") -> tuple[Type, bytes]:
-    """The body of a STATUS, with its message in English."""
+    """Type and body of a STATUS packet; `text` is its message, in English."""
     return Type.STATUS, u32(code) + string(text.encode()) + string(b"en")
 
 
 class Fields:
-    """Reads a packet's fields in order; raises PacketError when they are cut short."""
+    """Reads a packet's fields in order; raises PacketError if the packet is truncated."""
 
     def __init__(self, body: bytes) -> None:
-        self._body, self._at = body, 0
+        self._body, self._offset = body, 0
 
     def _take(self, length: int) -> bytes:
-        part = self._body[self._at : self._at + length]
+        part = self._body[self._offset : self._offset + length]
         if len(part) < length:
-            raise PacketError("cut short")
-        self._at += length
+            raise PacketError("packet is truncated")
+        self._offset += length
         return part
 
     def u32(self) -> int:
@@ -134,15 +136,15 @@
         return self._take(self.u32())
 
     def rest(self) -> bytes:
-        part, self._at = self._body[self._at :], len(self._body)
+        part, self._offset = self._body[self._offset :], len(self._body)
         return part
 
     def attrs(self) -> bytes:
-        """File attributes, checked for their form and handed on as they are."""
-        start = self._at
+        """File attributes in encoded form, after a check of their length."""
+        start = self._offset
         flags = self.u32()
         self._take(8 * bool(flags & 1) + 8 * bool(flags & 2) + 4 * bool(flags & 4) + 8 * bool(flags & 8))
         if flags & 0x80000000:
             for _ in range(self.u32()):
                 self.string(), self.string()
-        return self._body[start : self._at]
+        return self._body[start : self._offset]
