--- a/stackrouter/fronts/platform/client.py
+++ b/stackrouter/fronts/platform/client.py
@@ -189,9 +189,8 @@
                     raise BadCommandError("a request with this id is open")
             except BadCommandError as error:
                 self._counters.add("clients.bad_command")
-                if (
-                    self._counters["clients.bad_command"] <= MAX_LOGGED_BAD_COMMANDS
-                ):  # keeps a faulty client from filling the log
+                # Limited so that a faulty client cannot fill the log.
+                if self._counters["clients.bad_command"] <= MAX_LOGGED_BAD_COMMANDS:
                     fields = parts[3][:120] if len(parts) > 3 else b""
                     tell(log, ClientCommandError(error), f"bad command {fields!r}")
                 slot.parts = deque((resp.error(f"ERR {error}"),))
--- a/stackrouter/fronts/sftp/client.py
+++ b/stackrouter/fronts/sftp/client.py
@@ -208,7 +208,7 @@
         self._start(job)
 
     def _start(self, job: Job) -> None:
-        """Submit the job unless it must follow an earlier one: overlapping changes run in order of arrival."""
+        """Submit the job unless it must follow an earlier one; overlapping changes run in order."""
         before = self._jobs[: self._jobs.index(job)]
         if not job.started and not any(job.must_follow(other) for other in before):
             job.started = True
--- a/stackrouter/fronts/sftp/keys.py
+++ b/stackrouter/fronts/sftp/keys.py
@@ -69,7 +69,7 @@
         )
 
     def _prune(self, history: _PathHistory, now_us: int) -> None:
-        """Forget changes older than the window, as nodes do, and beyond the limit the least recently used paths."""
+        """Forget changes older than the window, as nodes do; over the limit, least recently used paths."""
         for digest in [
             each for each, old in history.changes.items() if old.used_us < now_us - self._window_us
         ]:
--- a/stackrouter/model/__init__.py
+++ b/stackrouter/model/__init__.py
@@ -1,1 +1,1 @@
-"""A small model of the fleet: discrete events, no sockets, the real engine and decision module in it."""
+"""A discrete-event simulation of the fleet, without sockets, around the real engine and decision module."""
--- a/stackrouter/model/node.py
+++ b/stackrouter/model/node.py
@@ -1,4 +1,4 @@
-"""A storage node of the model: cores, one FIFO, pauses, put-off writes, late reports, a meter of use."""
+"""A simulated storage node: cores, one FIFO, pauses, deferred writes, delayed reports, a usage meter."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from typing import Any
 
 CORES = 2
-SPEED = (0.8, 1.1)
+SPEED = (0.8, 1.1)  # range, relative to a core of speed 1
 PAUSE_EVERY_US = (2_400_000, 6_300_000)
 PAUSE_US = (74_000, 230_000)
-DEFER = (0.22, 0.54)  # part of a write's work that is put off
+DEFERRED_SHARE = (0.22, 0.54)  # part of a write's work that is done at the next flush
 FLUSH_EVERY_US = (1_100_000, 4_000_000)
-QUEUE = 120
+MAX_QUEUED = 120  # jobs; further ones are rejected
 REPORT_EVERY_US = (150_000, 710_000)
 REPORT_LATE_US = (100_000, 280_000)
 METER_LATE_US = (520_000, 1_300_000)
 
 
 class Clock:
-    """Virtual time: what is due, in order; equal times in the order in which they were set."""
+    """Virtual time in us and the scheduled calls, by time; equal times run in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0
         self._due: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._set = 0
+        self._last_number = 0
 
     def at(self, when: int, call: Callable[..., None], *values: Any) -> None:
-        self._set += 1
-        heappush(self._due, (max(self.now, when), self._set, call, values))
+        self._last_number += 1
+        heappush(self._due, (max(self.now, when), self._last_number, call, values))
 
     @property
     def due(self) -> list[tuple[int, int, Callable[..., None], tuple[Any, ...]]]:
@@ -40,19 +40,19 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """An attempt at a node. `end_us` is known once a core has it."""
+    """An attempt at a node. `end_us` is known once a core runs it."""
 
     volume: str
     units: int
     work_us: int
     write: bool
-    done: Callable[[bool], None]  # called with False if the node turned it away
+    done: Callable[[bool], None]  # called with False if the node rejected the job
     end_us: int = -1
-    over: bool = False
+    ended: bool = False
 
 
 class Meter:
-    """What each volume was served in all, by finished periods; told late."""
+    """Units served of each volume by all nodes, per finished period; available with a delay."""
 
     def __init__(self, period_us: int, rng: random.Random) -> None:
         self.period_us, self.late_us = period_us, rng.randint(*METER_LATE_US)
@@ -67,39 +67,42 @@
 
 
 class Node:
+    """A node whose speed, pauses, flushes and report delays are drawn from `rng`."""
+
     def __init__(self, clock: Clock, rng: random.Random, meter: Meter) -> None:
         self.clock, self.meter = clock, meter
         self.speed = rng.uniform(*SPEED)
-        self.defer = rng.uniform(*DEFER)
+        self.deferred_share = rng.uniform(*DEFERRED_SHARE)
         self._queue: deque[Job] = deque()
         self._running: list[Job] = []
-        self._put_off_us = 0.0
+        self._deferred_us = 0.0
         self._blocked_until = 0
-        self._reports: deque[tuple[int, int]] = deque([(0, 0)])  # from when on it is told, and what
-        # Each by a random stream of its own and by the clock alone: more load must not move a pause.
+        # For each report the time from which it is visible, and its figure.
+        self._reports: deque[tuple[int, int]] = deque([(0, 0)])
+        # Separate random streams, driven by the clock alone: a higher load must not move a pause.
         self._pauses, self._flushes, self._reporting = (random.Random(rng.random()) for _ in range(3))
         clock.at(self._pauses.randint(0, PAUSE_EVERY_US[1]), self._pause)
         clock.at(self._flushes.randint(0, FLUSH_EVERY_US[1]), self._flush)
         clock.at(self._reporting.randint(0, REPORT_EVERY_US[1]), self._report)
 
     def take(self, job: Job) -> None:
-        if len(self._queue) >= QUEUE:
+        if len(self._queue) >= MAX_QUEUED:
             job.done(False)
             return
         self._queue.append(job)
         self._start()
 
     def cancel(self, job: Job) -> None:
-        """Its connection was closed: work on it stops."""
-        if job.over:
+        """Stop the work on a job whose connection was closed."""
+        if job.ended:
             return
-        job.over = True
+        job.ended = True
         if job in self._running:
             self._running.remove(job)
             self._start()
 
     def inflight(self) -> int:
-        """What its answers say now: an old figure."""
+        """The figure that answers report now: the jobs at an earlier time."""
         while len(self._reports) > 1 and self._reports[1][0] <= self.clock.now:
             self._reports.popleft()
         return self._reports[0][1]
@@ -107,23 +110,23 @@
     def _start(self) -> None:
         while self._queue and len(self._running) < CORES:
             job = self._queue.popleft()
-            if job.over:
+            if job.ended:
                 continue
-            work = job.work_us * (1 - self.defer if job.write else 1.0) / self.speed
+            work = job.work_us * (1 - self.deferred_share if job.write else 1.0) / self.speed
             job.end_us = max(self.clock.now, self._blocked_until) + max(1, int(work))
             self._running.append(job)
             self.clock.at(job.end_us, self._finish, job)
 
     def _finish(self, job: Job) -> None:
-        if job.over:
+        if job.ended:
             return
-        if job.end_us > self.clock.now:  # a stall has put it off
+        if job.end_us > self.clock.now:  # postponed by a stall
             self.clock.at(job.end_us, self._finish, job)
             return
-        job.over = True
+        job.ended = True
         self._running.remove(job)
         if job.write:
-            self._put_off_us += job.work_us * self.defer / self.speed
+            self._deferred_us += job.work_us * self.deferred_share / self.speed
         self.meter.add(self.clock.now, job.volume, job.units)
         self._start()
         job.done(True)
@@ -138,12 +141,12 @@
         self.clock.at(self.clock.now + self._pauses.randint(*PAUSE_EVERY_US), self._pause)
 
     def _flush(self) -> None:
-        """What was put off is done in one go, by all cores."""
-        self._stall(int(self._put_off_us / CORES))
-        self._put_off_us = 0.0
+        """Do all deferred work at once, on all cores."""
+        self._stall(int(self._deferred_us / CORES))
+        self._deferred_us = 0.0
         self.clock.at(self.clock.now + self._flushes.randint(*FLUSH_EVERY_US), self._flush)
 
     def _report(self) -> None:
-        held = len(self._running) + sum(not j.over for j in self._queue)
-        self._reports.append((self.clock.now + self._reporting.randint(*REPORT_LATE_US), held))
+        open_jobs = len(self._running) + sum(not j.ended for j in self._queue)
+        self._reports.append((self.clock.now + self._reporting.randint(*REPORT_LATE_US), open_jobs))
         self.clock.at(self.clock.now + self._reporting.randint(*REPORT_EVERY_US), self._report)
--- a/stackrouter/model/recording.py
+++ b/stackrouter/model/recording.py
@@ -1,4 +1,4 @@
-"""Traces of a run of the model: the blocks of all gateways in one file, as if several had been joined."""
+"""Records a model run as a trace: one file with the blocks of all gateways, like a merged trace."""
 
 from __future__ import annotations
 
@@ -13,35 +13,34 @@
 from stackrouter.trace.format import Place, pack, pack_index
 
 PLANS, CLASSES = ("basic", "priority"), ("match-read", "turn-write")
-EPOCH_US = (
-    1_700_000_000_000_000  # the model's clock of the day at its start: the same bytes for the same seed
-)
-BLOCK_FACTS = 2048
+# Wall clock at the start of a run; constant, so that the same seed gives the same bytes.
+EPOCH_US = 1_700_000_000_000_000
+FACTS_PER_BLOCK = 2048
 
 
 @contextmanager
 def recorders(path: Path, gateways: int, nodes: int, seed: int) -> Iterator[list[Subscriber]]:
-    """A subscriber for each gateway; the file is whole once this ends."""
+    """Yield a subscriber for each gateway; the file is complete when the context ends."""
     settings = settings_for(gateways, nodes, seed)
     headers = [Header.of(f"g{i}", settings, PLANS, CLASSES, EPOCH_US, 0) for i in range(gateways)]
     buffers: list[list[facts.Fact]] = [[] for _ in headers]
     places: list[Place] = []
-    firsts = [0] * gateways
+    first_numbers = [0] * gateways
     with path.open("wb") as file:
 
         def flush(i: int) -> None:
             batch, buffers[i] = buffers[i], []
-            places.append(Place(file.tell(), firsts[i]))
-            file.write(pack(encode(headers[i], firsts[i], 0, batch), firsts[i]))
-            firsts[i] += len(batch)
+            places.append(Place(file.tell(), first_numbers[i]))
+            file.write(pack(encode(headers[i], first_numbers[i], 0, batch), first_numbers[i]))
+            first_numbers[i] += len(batch)
 
         def subscriber(i: int) -> Subscriber:
-            def take(fact: facts.Fact) -> None:
+            def record(fact: facts.Fact) -> None:
                 buffers[i].append(fact)
-                if len(buffers[i]) >= BLOCK_FACTS:
+                if len(buffers[i]) >= FACTS_PER_BLOCK:
                     flush(i)
 
-            return take
+            return record
 
         yield [subscriber(i) for i in range(gateways)]
         for i, batch in enumerate(buffers):
--- a/stackrouter/standins/__init__.py
+++ b/stackrouter/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the platform has round a gateway, on loopback: storage nodes, discovery, clients."""
+"""Stand-ins on loopback for a gateway's environment: storage nodes, discovery and clients."""
--- a/stackrouter/standins/clients.py
+++ b/stackrouter/standins/clients.py
@@ -1,4 +1,4 @@
-"""Clients on loopback: each volume asks at a rate of its own, whatever becomes of what it asked before."""
+"""Clients on loopback: an open-loop load, in which each volume sends requests at its own rate."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Habits:
-    """`burst`: times its rate between two moments, in seconds from the start; (1, 0, 0): never."""
+    """Load of one volume. `burst`: multiple of the rate, begin and end in seconds; (1, 0, 0): none."""
 
     volume: str
     plan: str
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Told:
-    """What a volume's clients were told. `recent`: latencies in seconds of the last answers."""
+    """Answers to one volume's clients. `recent`: latencies in seconds of the last answers."""
 
     verdicts: Counter[str] = field(default_factory=Counter)
     recent: deque[float] = field(default_factory=lambda: deque(maxlen=500))
@@ -41,14 +41,18 @@
 
 
 class StandinClients:
+    """Sends the load of all volumes to the gateways, in greenlets, until `stop`."""
+
     def __init__(self, habits: Sequence[Habits], gateways: Sequence[tuple[str, int]], seed: int) -> None:
         self.habits, self.gateways = habits, gateways
-        self.told = {h.volume: Told() for h in habits}
+        self.told = {each.volume: Told() for each in habits}
         self._rng = random.Random(f"clients {seed}")
         self._idle: dict[int, list[socket.socket]] = {i: [] for i in range(len(gateways))}
-        self._made = 0
+        self._request_count = 0
         self.began = time.monotonic()
-        self._greenlets = [gevent.spawn(self._ask_on, h, random.Random(f"{h.volume} {seed}")) for h in habits]
+        self._greenlets = [
+            gevent.spawn(self._run_volume, each, random.Random(f"{each.volume} {seed}")) for each in habits
+        ]
 
     def stop(self) -> None:
         gevent.killall(self._greenlets)
@@ -56,30 +60,35 @@
             for sock in idle:
                 sock.close()
 
-    def _ask_on(self, h: Habits, rng: random.Random) -> None:
+    def _run_volume(self, habits: Habits, rng: random.Random) -> None:
         due = time.monotonic()
         while True:
-            times, begin, end = h.burst
+            multiple, begin, end = habits.burst
             now = time.monotonic() - self.began
-            rate = h.units_per_s * (times if begin <= now < end else 1.0) / MEAN_UNITS
+            rate = habits.units_per_s * (multiple if begin <= now < end else 1.0) / MEAN_UNITS
             due += rng.expovariate(rate)
             gevent.sleep(max(0.0, due - time.monotonic()))
             gevent.spawn(
-                self._ask,
-                h,
-                rng.choice(h.gateways),
-                rng.random() < h.write_share,
+                self._send_request,
+                habits,
+                rng.choice(habits.gateways),
+                rng.random() < habits.write_share,
                 rng.choice((1, 1, 2, 4)),
-                rng.choice(h.shards),
+                rng.choice(habits.shards),
             )
 
-    def _ask(self, h: Habits, gateway: int, write: bool, units: int, shard: int) -> None:
-        self._made += 1
+    def _send_request(self, habits: Habits, gateway: int, write: bool, units: int, shard: int) -> None:
+        self._request_count += 1
         fields = (
-            f"c={CLASSES[write]},t={h.plan},d={DEADLINE_MS[write]},volume={h.volume},units={units},"
-            f"shard={shard},hosts={len(h.gateways)}"
+            f"c={CLASSES[write]},t={habits.plan},d={DEADLINE_MS[write]},volume={habits.volume},units={units},"
+            f"shard={shard},hosts={len(habits.gateways)}"
         )
-        words = [b"BLK.READ", b"%016x" % self._rng.getrandbits(64), b"%016x" % self._made, fields.encode()]
+        words = [
+            b"BLK.READ",
+            b"%016x" % self._rng.getrandbits(64),
+            b"%016x" % self._request_count,
+            fields.encode(),
+        ]
         if write:
             words[0], words[3] = b"BLK.WRITE", words[3] + b",k=%016x" % self._rng.getrandbits(64)
             words.append(b"turn")
@@ -88,32 +97,32 @@
             verdict = self._exchange(gateway, resp.command(*words), DEADLINE_MS[write] / 1000 + 0.5)
         except (OSError, gevent.Timeout):
             verdict = "lost"
-        told = self.told[h.volume]
+        told = self.told[habits.volume]
         told.verdicts[verdict] += 1
         told.recent.append(time.monotonic() - began)
         told.latency_s += time.monotonic() - began
 
     def _exchange(self, gateway: int, command: bytes, wait_s: float) -> str:
         if self._idle[gateway]:
-            verdict = self._try(gateway, self._idle[gateway].pop(), command, wait_s)
+            verdict = self._exchange_over(gateway, self._idle[gateway].pop(), command, wait_s)
             if verdict != "lost":
-                return verdict  # else it was closed between requests: once more on a new connection
-        return self._try(gateway, socket.create_connection(self.gateways[gateway]), command, wait_s)
+                return verdict  # otherwise it was closed while idle: retried on a new connection
+        return self._exchange_over(gateway, socket.create_connection(self.gateways[gateway]), command, wait_s)
 
-    def _try(self, gateway: int, sock: socket.socket, command: bytes, wait_s: float) -> str:
-        whole = False
+    def _exchange_over(self, gateway: int, sock: socket.socket, command: bytes, wait_s: float) -> str:
+        is_complete = False
         try:
             sock.settimeout(wait_s)
             sock.sendall(command)
-            first = sock.recv(4096)
-            whole = first.endswith(b"\r\n")
-            if first.startswith(b"-BUSY"):
+            answer = sock.recv(4096)
+            is_complete = answer.endswith(b"\r\n")
+            if answer.startswith(b"-BUSY"):
                 return "refused"
-            return {b"$": "served", b"": "lost"}.get(first[:1], "failed")
+            return {b"$": "served", b"": "lost"}.get(answer[:1], "failed")
         except ConnectionError:
             return "lost"
         finally:
-            if whole:
+            if is_complete:
                 self._idle[gateway].append(sock)
             else:
                 sock.close()
--- a/stackrouter/standins/discovery.py
+++ b/stackrouter/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery on loopback: the list of nodes over HTTP, with watches, for one gateway or several."""
+"""Discovery on loopback: serves the list of nodes over HTTP, with watches, to any number of gateways."""
 
 from __future__ import annotations
 
@@ -21,12 +21,14 @@
 
 
 class StandinDiscovery:
+    """A discovery agent; `address` is where it listens."""
+
     def __init__(self, entries: Iterable[Entry]) -> None:
-        self.entries = {e["name"]: e for e in entries}
+        self.entries = {each["name"]: each for each in entries}
         self.index = 1
         self.calls = 0
-        self._changed: dict[str, int] = {}
-        self._news = Event()
+        self._changed_at: dict[str, int] = {}
+        self._changed_event = Event()
         self._server = WSGIServer(("127.0.0.1", 0), self._answer, log=None)
         self._server.start()
         self.address = f"127.0.0.1:{self._server.server_port}"
@@ -35,16 +37,16 @@
         self._server.stop(timeout=0.1)
 
     def change(self, name: str, **fields: Any) -> None:
-        """Tell all watchers, as `status="draining"`."""
+        """Change fields of a node's entry, such as `status="draining"`, and wake all watchers."""
         self.entries[name] = {**self.entries[name], **fields}
         self.index += 1
-        self._changed[name] = self.index
-        self._news.set()
-        self._news = Event()
+        self._changed_at[name] = self.index
+        self._changed_event.set()
+        self._changed_event = Event()
 
     def listing(self) -> dict[str, Any]:
-        up = [e for e in self.entries.values() if e["status"] != "removed"]
-        return {"index": self.index, "snapshot": True, "endpoints": up}
+        endpoints = [each for each in self.entries.values() if each["status"] != "removed"]
+        return {"index": self.index, "snapshot": True, "endpoints": endpoints}
 
     def _answer(self, environ: dict[str, Any], start: Callable[..., Any]) -> list[bytes]:
         self.calls += 1
@@ -56,8 +58,8 @@
         if "index" in query:
             known, wait_s = int(query["index"][0]), int(query.get("wait", ["0"])[0]) / 1000
             if known >= self.index:
-                self._news.wait(wait_s)
-            changed = [self.entries[n] for n, at in self._changed.items() if at > known]
+                self._changed_event.wait(wait_s)
+            changed = [self.entries[n] for n, at in self._changed_at.items() if at > known]
             body = {"index": self.index, "snapshot": False, "endpoints": changed}
         data = json.dumps(body).encode()
         start("200 OK", [("Content-Type", "application/json"), ("Content-Length", str(len(data)))])
--- a/stackrouter/standins/fleet.py
+++ b/stackrouter/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A whole installation on loopback: gateways as processes of their own, all else in this one."""
+"""A whole installation on loopback: gateways in separate processes, everything else in this one."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 HALLS = ("hall-a", "hall-b", "hall-c")
 START_S = 15.0
 STOP_S = 8.0
-UNITS_PER_S = 250.0  # about what a node of the usual nature bears
+NODE_UNITS_PER_S = 250.0  # approximate capacity of a node with the default Nature
 
 
 @dataclass(frozen=True, slots=True)
 class Scene:
-    """What to play. `noisy`: basic, priority, writes or none; `burst`: from when to when, in seconds."""
+    """The installation and its load. `noisy`: basic, priority, writes or none; `burst`: begin, end in s."""
 
     gateways: int = 2
     nodes: int = 3
@@ -36,11 +36,11 @@
     load: float = 0.3
     noisy: str = "basic"
     burst: tuple[float, float] = (4.0, 12.0)
-    edge: str = ""  # text of the operator's file; {gateway} stands for the gateway's name
+    edge: str = ""  # text of the operator's file; {gateway} is replaced by the gateway's name
 
 
 def settings(scene: Scene, usual: float) -> dict[str, Any]:
-    """The platform's settings, in its own words."""
+    """The platform's settings as in its configuration file. `usual`: the basic plan's rate in units/s."""
     profile = {"AimUs": 400_000, "KeyTtlUs": 3_000_000, "Group": "cell"}
     return {
         "Balancers": scene.gateways,
@@ -92,26 +92,31 @@
 
 
 def habits(scene: Scene) -> tuple[float, list[Habits], str | None]:
-    """The plans' usual rate, every volume's habits, and which one is noisy."""
+    """The basic plan's usual rate in units/s, every volume's habits, and the noisy volume or None."""
     count = 3 * scene.nodes
-    usual = UNITS_PER_S * scene.load * scene.nodes / (count * 4 / 3)  # one in three is of twice the size
-    made: list[Habits] = []
+    # One in three volumes has twice the usual rate.
+    usual = NODE_UNITS_PER_S * scene.load * scene.nodes / (count * 4 / 3)
+    volumes: list[Habits] = []
     for i in range(count):
         plan = "priority" if i % 3 == 2 else "basic"
-        homes = tuple((i + j) % scene.nodes for j in range(1 if plan == "basic" else min(2, scene.nodes)))
+        shards = tuple((i + j) % scene.nodes for j in range(1 if plan == "basic" else min(2, scene.nodes)))
         hosts = tuple(range(scene.gateways)) if i % 2 else (i % scene.gateways,)
         rate = usual * (2 if plan == "priority" else 1)
-        made.append(Habits(f"{0xb0000000 + i:016x}", plan, rate, hosts, homes))
+        volumes.append(Habits(f"{0xb0000000 + i:016x}", plan, rate, hosts, shards))
     if scene.noisy == "none":
-        return usual, made, None
+        return usual, volumes, None
     plan = "basic" if scene.noisy == "basic" else "priority"
-    place = next(i for i, h in enumerate(made) if h.plan == plan and (plan == "basic" or i > 2))
-    h = made[place]
+    noisy_index = next(
+        i for i, each in enumerate(volumes) if each.plan == plan and (plan == "basic" or i > 2)
+    )
+    chosen = volumes[noisy_index]
     times = 9.0 if plan == "basic" else 8.0
-    share = 1.0 if scene.noisy == "writes" else h.write_share
+    share = 1.0 if scene.noisy == "writes" else chosen.write_share
     hosts = tuple(range(scene.gateways))
-    made[place] = Habits(h.volume, h.plan, h.units_per_s, hosts, h.shards, share, (times, *scene.burst))
-    return usual, made, h.volume
+    volumes[noisy_index] = Habits(
+        chosen.volume, chosen.plan, chosen.units_per_s, hosts, chosen.shards, share, (times, *scene.burst)
+    )
+    return usual, volumes, chosen.volume
 
 
 def free_port() -> int:
@@ -122,14 +127,18 @@
 
 
 class StandinFleet:
-    """Use as a context: on the way out everything that was started ends."""
+    """The running installation; a context manager that stops everything on exit."""
 
     def __init__(self, scene: Scene, folder: Path, nature: Nature | None = None) -> None:
         self.scene, self.folder = scene, folder
         usual, self.habits, self.noisy = habits(scene)
-        sized = {h.volume: usual * (2 if h.plan == "priority" else 1) for h in self.habits}
+        usual_units_per_s = {
+            each.volume: usual * (2 if each.plan == "priority" else 1) for each in self.habits
+        }
         nature = nature or Nature()
-        self.nodes = [StandinNode(f"s-{i + 1}", i, nature, scene.seed, sized) for i in range(scene.nodes)]
+        self.nodes = [
+            StandinNode(f"s-{i + 1}", i, nature, scene.seed, usual_units_per_s) for i in range(scene.nodes)
+        ]
         entries = [entry(n.name, n.address, n.shard, HALLS[i % 3], "std") for i, n in enumerate(self.nodes)]
         self.discovery = StandinDiscovery(entries)
         self.ports = [free_port() for _ in range(scene.gateways)]
@@ -140,7 +149,7 @@
     def __enter__(self) -> StandinFleet:
         try:
             self.programs = [self._start(i) for i in range(self.scene.gateways)]
-            self._await_start()
+            self._wait_until_ready()
         except BaseException:
             self.__exit__()
             raise
@@ -152,8 +161,8 @@
         for program in self.programs:
             if program.poll() is None:
                 program.send_signal(signal.SIGTERM)
-        until = time.monotonic() + STOP_S
-        while any(p.poll() is None for p in self.programs) and time.monotonic() < until:
+        give_up_at = time.monotonic() + STOP_S
+        while any(p.poll() is None for p in self.programs) and time.monotonic() < give_up_at:
             gevent.sleep(0.02)
         for program in self.programs:
             if program.poll() is None:
@@ -164,7 +173,7 @@
         self.discovery.stop()
 
     def play(self) -> StandinClients:
-        """Let the clients in."""
+        """Start the clients' load."""
         addresses = [("127.0.0.1", port) for port in self.ports]
         self.clients = StandinClients(self.habits, addresses, self.scene.seed)
         return self.clients
@@ -191,7 +200,7 @@
             edge = self.folder / f"{name}.txtpb"
             edge.write_text(self.scene.edge.replace("{gateway}", name), encoding="utf-8")
             environ["GW_EDGE"] = str(edge)
-        # A session of its own: Ctrl-C in the terminal is for us, who then end it in order.
+        # A separate session: Ctrl-C in the terminal reaches only this process, which then stops the gateways.
         with self.log_of(i).open("wb") as log:
             return subprocess.Popen(
                 [sys.executable, "-m", "stackrouter"],
@@ -201,16 +210,16 @@
                 start_new_session=True,
             )
 
-    def _await_start(self) -> None:
-        until = time.monotonic() + START_S
+    def _wait_until_ready(self) -> None:
+        give_up_at = time.monotonic() + START_S
         for i, port in enumerate(self.ports):
-            while not _answers(port):
-                if self.programs[i].poll() is not None or time.monotonic() > until:
+            while not _answers_ping(port):
+                if self.programs[i].poll() is not None or time.monotonic() > give_up_at:
                     raise StartError(f"g{i + 1}: {self.log_of(i).read_text().strip() or 'did not start'}")
                 gevent.sleep(0.02)
 
 
-def _answers(port: int) -> bool:
+def _answers_ping(port: int) -> bool:
     from gevent import socket
 
     try:
--- a/stackrouter/standins/node.py
+++ b/stackrouter/standins/node.py
@@ -1,4 +1,4 @@
-"""A storage node on loopback: the platform's wire, cores, one FIFO, pauses, put-off writes, late reports."""
+"""A storage node on loopback: platform protocol, cores, FIFO, pauses, deferred writes, delayed reports."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from gevent import Greenlet, socket
 from gevent.event import Event
 
-MOST_QUEUED = 200
+MAX_QUEUED = 200
 
 
 @dataclass(frozen=True, slots=True)
 class Nature:
-    """How a node behaves. Times in seconds; a pair is a range to draw from."""
+    """Parameters of a node's behaviour. Times in seconds; a pair is a range to draw from."""
 
     cores: int = 2
-    unit_s: float = 0.008  # of a core, for one unit of size
-    spread: float = 0.4  # of the work, as the sigma of a lognormal
-    put_off: float = 0.35  # part of a write's work that is done later, in one go
+    unit_s: float = 0.008  # core time per unit of size
+    spread: float = 0.4  # of the work: sigma of a lognormal distribution
+    put_off: float = 0.35  # part of a write's work that is deferred to the next flush
     flush_every_s: tuple[float, float] = (1.1, 4.0)
     pause_every_s: tuple[float, float] | None = (2.4, 6.3)
     pause_s: tuple[float, float] = (0.074, 0.23)
@@ -30,17 +30,19 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
+    """A request in progress and the connection that awaits its answer."""
+
     sock: socket.socket
     volume: str
     units: float
     write: bool
     value: bytes
-    over: bool = False
+    ended: bool = False
 
 
 @dataclass(slots=True)
 class Seen:
-    """Counts of what came. `busy`: turned away; `gave_up`: the connection closed before the answer."""
+    """Counts of requests. `busy`: rejected; `gave_up`: the connection was closed before the answer."""
 
     served: int = 0
     busy: int = 0
@@ -49,18 +51,20 @@
 
 
 class StandinNode:
+    """A node that listens on `address` until `stop`."""
+
     def __init__(self, name: str, shard: int, nature: Nature, seed: int, usual: dict[str, float]) -> None:
-        """`usual`: units a second that each volume is sized for, to tell its use in percent."""
+        """`usual`: each volume's usual rate in units/s, on which its reported use in percent is based."""
         self.name, self.shard, self.nature, self.usual = name, shard, nature, usual
         self.seen = Seen()
-        self.inflight = self._told = 0
+        self.inflight = self._reported_inflight = 0
         self._rng = random.Random(f"{name} {seed}")
         self._queue: deque[Job] = deque()
-        self._more, self._open = Event(), Event()
-        self._open.set()
-        self._put_off_s = 0.0
+        self._work_available, self._not_stalled = Event(), Event()
+        self._not_stalled.set()
+        self._deferred_s = 0.0
         self._used: Counter[str] = Counter()
-        self._told_used: Counter[str] = Counter()
+        self._reported_used: Counter[str] = Counter()
         self._sock = socket.socket()
         self._sock.bind(("127.0.0.1", 0))
         self._sock.listen(256)
@@ -71,7 +75,7 @@
             gevent.spawn(self._report),
             gevent.spawn(self._meter),
         ]
-        self._greenlets += [gevent.spawn(self._core) for _ in range(nature.cores)]
+        self._greenlets += [gevent.spawn(self._run_core) for _ in range(nature.cores)]
         if nature.pause_every_s is not None:
             self._greenlets.append(gevent.spawn(self._pauses, nature.pause_every_s))
 
@@ -79,7 +83,7 @@
         self._sock.close()
         gevent.killall(self._greenlets)
 
-    # --- the wire
+    # --- protocol
 
     def _accept(self) -> None:
         while True:
@@ -88,24 +92,24 @@
             except OSError:
                 return
             self._greenlets.append(gevent.spawn(self._serve, sock))
-            self._greenlets = [g for g in self._greenlets if not g.dead]
+            self._greenlets = [each for each in self._greenlets if not each.dead]
 
     def _serve(self, sock: socket.socket) -> None:
         jobs: list[Job] = []
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with contextlib.suppress(OSError, ValueError), sock.makefile("rb") as file:
             while words := read_command(file):
-                jobs = [job for job in jobs if not job.over]
+                jobs = [job for job in jobs if not job.ended]
                 jobs += self._take(sock, words)
         for job in jobs:
-            if not job.over:
-                job.over = True
+            if not job.ended:
+                job.ended = True
                 self.seen.gave_up += 1
         sock.close()
 
     def _take(self, sock: socket.socket, words: list[bytes]) -> list[Job]:
         fields = dict(pair.split("=", 1) for pair in words[3].decode().split(","))
-        if int(fields["shard"]) != self.shard or self.inflight >= MOST_QUEUED:
+        if int(fields["shard"]) != self.shard or self.inflight >= MAX_QUEUED:
             self.seen.busy += 1
             sock.sendall(b"-BUSY\r\n")
             return []
@@ -113,48 +117,48 @@
         job = Job(sock, fields["volume"], float(fields["units"]), words[0] == b"BLK.WRITE", value)
         self._queue.append(job)
         self.inflight += 1
-        self._more.set()
+        self._work_available.set()
         return [job]
 
-    # --- the work
+    # --- work
 
-    def _core(self) -> None:
+    def _run_core(self) -> None:
         nature = self.nature
         while True:
             while not self._queue:
-                self._more.clear()
-                self._more.wait()
+                self._work_available.clear()
+                self._work_available.wait()
             job = self._queue.popleft()
-            if not job.over:
+            if not job.ended:
                 work = (
                     nature.unit_s
                     * job.units
                     * self._rng.lognormvariate(-(nature.spread**2) / 2, nature.spread)
                 )
-                later = work * nature.put_off if job.write else 0.0
-                self._open.wait()
-                gevent.sleep(work - later)
-                self._open.wait()
-                self._put_off_s += later
+                deferred = work * nature.put_off if job.write else 0.0
+                self._not_stalled.wait()
+                gevent.sleep(work - deferred)
+                self._not_stalled.wait()
+                self._deferred_s += deferred
             self.inflight -= 1
-            if not job.over:
+            if not job.ended:
                 self._answer(job)
 
     def _answer(self, job: Job) -> None:
-        job.over = True
+        job.ended = True
         self.seen.served += 1
         self.seen.units[job.volume] += round(job.units)
         self._used[job.volume] += round(job.units)
-        used = round(100 * self._told_used[job.volume] / self.usual.get(job.volume, 1.0))
-        figures, report = b"used=%d" % used, b"inflight=%d" % self._told
+        used = round(100 * self._reported_used[job.volume] / self.usual.get(job.volume, 1.0))
+        figures, report = b"used=%d" % used, b"inflight=%d" % self._reported_inflight
         parts = (b"$%d\r\n%s\r\n" % (len(part), part) for part in (job.value, figures, report))
         with contextlib.suppress(OSError):
             job.sock.sendall(b"*3\r\n" + b"".join(parts))
 
     def _stall(self, length_s: float) -> None:
-        self._open.clear()
+        self._not_stalled.clear()
         gevent.sleep(length_s)
-        self._open.set()
+        self._not_stalled.set()
 
     def _pauses(self, every_s: tuple[float, float]) -> None:
         while True:
@@ -164,23 +168,23 @@
     def _flush(self) -> None:
         while True:
             gevent.sleep(self._rng.uniform(*self.nature.flush_every_s))
-            put_off, self._put_off_s = self._put_off_s, 0.0
-            self._stall(put_off / self.nature.cores)
+            deferred_s, self._deferred_s = self._deferred_s, 0.0
+            self._stall(deferred_s / self.nature.cores)
 
     def _report(self) -> None:
         while True:
-            self._told = self.inflight
+            self._reported_inflight = self.inflight
             gevent.sleep(self.nature.report_every_s)
 
     def _meter(self) -> None:
-        """Use of the last finished second."""
+        """Update the reported use to that of the last finished second."""
         while True:
             gevent.sleep(1.0)
-            self._told_used, self._used = self._used, Counter()
+            self._reported_used, self._used = self._used, Counter()
 
 
 def read_command(file: object) -> list[bytes]:
-    """One array of bulk strings; empty at the end of the stream. ValueError: something else."""
+    """Read an array of bulk strings; empty at the end of the stream. Raises ValueError for other input."""
     readline, read = file.readline, file.read  # type: ignore[attr-defined]
     head = readline()
     if not head:
