--- a/stackrouter/fronts/platform/resp.py
+++ b/stackrouter/fronts/platform/resp.py
@@ -38,10 +38,10 @@
 class _InboxView:
     """Access to the received bytes; caches the first ones, since most commands and answers are short."""
 
-    __slots__ = ("head", "inbox", "max_bulk", "size")
+    __slots__ = ("head", "inbox", "max_bulk_bytes", "size")
 
-    def __init__(self, inbox: Inbox, max_bulk: int) -> None:
-        self.inbox, self.max_bulk = inbox, max_bulk
+    def __init__(self, inbox: Inbox, max_bulk_bytes: int) -> None:
+        self.inbox, self.max_bulk_bytes = inbox, max_bulk_bytes
         self.head, self.size = inbox.peek(0, HEAD_BYTES), len(inbox)
 
     def part(self, at: int, length: int) -> bytes:
@@ -60,12 +60,12 @@
         raise ShortError
 
 
-def parse(inbox: Inbox, max_bulk: int = MAX_VALUE_BYTES) -> Value:
+def parse(inbox: Inbox, max_bulk_bytes: int = MAX_VALUE_BYTES) -> Value:
     """Remove the first complete value from the inbox and return it; ShortError while it is incomplete.
 
-    `max_bulk`: most bytes of a bulk string; ProtocolError if it is longer.
+    `max_bulk_bytes`: longest bulk string accepted, in bytes; a longer one raises ProtocolError.
     """
-    value, end = _value(_InboxView(inbox, max_bulk), 0, 0)
+    value, end = _value(_InboxView(inbox, max_bulk_bytes), 0, 0)
     inbox.skip(end)
     return value
 
@@ -89,7 +89,7 @@
 def _bulk(view: _InboxView, length: int, at: int) -> tuple[Value, int]:
     if length == -1:
         return None, at
-    if not 0 <= length <= view.max_bulk:
+    if not 0 <= length <= view.max_bulk_bytes:
         raise ProtocolError("invalid bulk length")
     end = at + length + 2
     if view.size < end:
--- a/stackrouter/standins/clients.py
+++ b/stackrouter/standins/clients.py
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Habits:
-    """Load of one volume. `burst`: multiple of the rate, begin and end in seconds; (1, 0, 0): none."""
+    """Load of one volume.
+
+    `burst`: multiple of the rate, begin and end in seconds from the start; (1, 0, 0): none.
+    """
 
     volume: str
     plan: str
--- a/stackrouter/standins/fleet.py
+++ b/stackrouter/standins/fleet.py
@@ -28,7 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Scene:
-    """The installation and its load. `noisy`: basic, priority, writes or none; `burst`: begin, end in s."""
+    """The installation and its load.
+
+    `noisy`: basic, priority, writes or none; `burst`: its begin and end in seconds from the start.
+    """
 
     gateways: int = 2
     nodes: int = 3
