--- a/stackrouter/cli/bench.py
+++ b/stackrouter/cli/bench.py
@@ -1,4 +1,4 @@
-"""`bench accounts`: the sketch against plain dicts; `bench capacity`: how costs grow, and its page."""
+"""`bench accounts` compares the sketch with plain dicts; `bench capacity` measures the growth of costs."""
 
 from __future__ import annotations
 
@@ -14,40 +14,47 @@
 import typer
 from rich.table import Table
 
-from stackrouter.cli.shared import AsJson, bar, out, print_json
+from stackrouter.cli.shared import AsJson, out, print_json, progress_bar
 from stackrouter.errors import OptionError
 
-app = typer.Typer(no_args_is_help=True, help="Measurements of parts.")
+app = typer.Typer(no_args_is_help=True, help="Benchmarks of components.")
 
-ADDS = 400_000
-SKEW = 1.05  # of a Zipf law: a few volumes cause most
+DEFAULT_ADDS = 400_000
+ZIPF_EXPONENT = 1.05  # a few volumes cause most of the delay
 
 
 @app.callback()
 def group() -> None:
-    """Measurements of parts."""
+    """Benchmarks of components."""
 
 
-def _keys(rng: random.Random, volumes: int, count: int) -> Iterator[tuple[tuple[int, int, int], float]]:
-    """Who waited behind whom at which node, for how long. Inverse of the Zipf law's sum, approximately."""
-    power = 1 / (1 - SKEW)
-    top = (volumes + 1) ** (1 - SKEW)
+def _random_keys(
+    rng: random.Random, volumes: int, count: int
+) -> Iterator[tuple[tuple[int, int, int], float]]:
+    """Random keys (waiter, cause, node) with delays in microseconds. Causes follow a Zipf law, drawn by an
+    approximate inverse of its cumulative sum."""
+    power = 1 / (1 - ZIPF_EXPONENT)
+    largest = (volumes + 1) ** (1 - ZIPF_EXPONENT)
     for _ in range(count):
-        cause = int((1 + rng.random() * (top - 1)) ** power) - 1
+        cause = int((1 + rng.random() * (largest - 1)) ** power) - 1
         yield (rng.randrange(volumes), cause, cause % 97), rng.expovariate(1 / 20_000)
 
 
 def _measure(
     make: Callable[[], Any], add: Callable[[Any, Any, float], None], items: list[Any]
 ) -> tuple[Any, float]:
+    """The filled table and the nanoseconds of one add."""
     table = make()
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     for key, us in items:
         add(table, key, us)
-    return table, (time.perf_counter() - began) / len(items) * 1e9
+    return table, (time.perf_counter() - started_s) / len(items) * 1e9
 
 
-def _bytes(make: Callable[[], Any], add: Callable[[Any, Any, float], None], items: list[Any]) -> int:
+def _allocated_bytes(
+    make: Callable[[], Any], add: Callable[[Any, Any, float], None], items: list[Any]
+) -> int:
+    """Bytes allocated by a filled table."""
     tracemalloc.start()
     try:
         table, _ = _measure(make, add, items)
@@ -62,12 +69,12 @@
 
 @app.command()
 def accounts(
-    most: Annotated[int, typer.Option(min=16, help="What the sketch keeps.")] = 4096,
-    adds: Annotated[int, typer.Option(min=1000)] = ADDS,
+    most: Annotated[int, typer.Option(min=16, help="Maximum entries of the sketch.")] = 4096,
+    adds: Annotated[int, typer.Option(min=1000)] = DEFAULT_ADDS,
     repeats: Annotated[int, typer.Option(min=1, max=50)] = 3,
     as_json: AsJson = False,
 ) -> None:
-    """The sketch of (waiter, cause, node) against a plain dict: time, memory, error."""
+    """Compare the sketch of (waiter, cause, node) with a plain dict: time, memory, error."""
     from stackrouter.accounts.sketch import TopSums
 
     def sketch() -> TopSums[tuple[int, int, int]]:
@@ -75,16 +82,16 @@
 
     rows = []
     sizes = [10**n for n in range(2, 7)]
-    with bar("sketch", len(sizes)) as progress:
+    with progress_bar("sketch", len(sizes)) as progress:
         for i, volumes in enumerate(sizes):
-            items = list(_keys(random.Random(volumes), volumes, adds))
+            items = list(_random_keys(random.Random(volumes), volumes, adds))
             ratios, plain_ns, sketch_ns = [], 0.0, 0.0
             for _ in range(repeats):
                 exact, plain_ns = _measure(Counter, _plain_add, items)
                 table, sketch_ns = _measure(sketch, TopSums.add, items)
                 ratios.append(sketch_ns / plain_ns)
-            top = exact.most_common(10)
-            off = max(abs(table[key].us - us) / us for key, us in top)
+            largest = exact.most_common(10)
+            worst_error = max(abs(table[key].us - us) / us for key, us in largest)
             rows.append(
                 {
                     "volumes": volumes,
@@ -94,18 +101,18 @@
                     "ratio": round(statistics.median(ratios), 2),
                     "ratio_min": round(min(ratios), 2),
                     "ratio_max": round(max(ratios), 2),
-                    "plain_kib": _bytes(Counter, _plain_add, items) // 1024,
-                    "sketch_kib": _bytes(sketch, TopSums.add, items) // 1024,
+                    "plain_kib": _allocated_bytes(Counter, _plain_add, items) // 1024,
+                    "sketch_kib": _allocated_bytes(sketch, TopSums.add, items) // 1024,
                     "error_bound": round(table.error / table.total, 6),
-                    "worst_of_top_10": round(off, 4),
+                    "worst_of_top_10": round(worst_error, 4),
                 }
             )
-            progress.at(i + 1)
+            progress.update(i + 1)
     if as_json:
         print_json({"most": most, "adds": adds, "repeats": repeats, "rows": rows})
         return
-    # Two-line heads keep the table within 80 columns.
-    table_ = Table(
+    # Two-line column headers keep the table within 80 columns.
+    output_table = Table(
         "volumes",
         "keys",
         "dict\nns",
@@ -118,34 +125,34 @@
         box=None,
         pad_edge=False,
     )
-    for r in rows:
-        table_.add_row(
-            str(r["volumes"]),
-            str(r["keys"]),
-            str(r["plain_ns"]),
-            str(r["sketch_ns"]),
-            f"{r['ratio']} ({r['ratio_min']}-{r['ratio_max']})",
-            str(r["plain_kib"]),
-            str(r["sketch_kib"]),
-            f"{r['error_bound']:.2%}",
-            f"{r['worst_of_top_10']:.2%}",
+    for row in rows:
+        output_table.add_row(
+            str(row["volumes"]),
+            str(row["keys"]),
+            str(row["plain_ns"]),
+            str(row["sketch_ns"]),
+            f"{row['ratio']} ({row['ratio_min']}-{row['ratio_max']})",
+            str(row["plain_kib"]),
+            str(row["sketch_kib"]),
+            f"{row['error_bound']:.2%}",
+            f"{row['worst_of_top_10']:.2%}",
         )
-    out.print(table_)
+    out.print(output_table)
 
 
-SLOPES = Path("docs/capacity/slopes.json")
+SLOPES_FILE = Path("docs/capacity/slopes.json")
 
 
 @app.command()
 def capacity(
-    file: Annotated[Path, typer.Option(help="Write the series here, as JSON.")] = SLOPES,
+    file: Annotated[Path, typer.Option(help="Write the series to this JSON file.")] = SLOPES_FILE,
     only: Annotated[
-        list[str] | None, typer.Option(help="Measure just this, by its name; may be given more than once.")
+        list[str] | None, typer.Option(help="Measure only this one, by name; repeatable.")
     ] = None,
 ) -> None:
-    """Measure how the costs of each role grow, each quantity at four sizes or more; some minutes.
+    """Measure how the costs of each role grow, each quantity at four or more sizes; takes some minutes.
 
-    With --only, the other series of a file of the same commit stay."""
+    With --only, the other series of a file of the same commit are kept."""
     from stackrouter.capacity import slopes
     from stackrouter.capacity.measure.plan import MEASUREMENTS
     from stackrouter.capacity.measure.run import measure
@@ -153,10 +160,10 @@
     known = {measurement.name: measurement for measurement in MEASUREMENTS}
     for name in only or ():
         if name not in known:
-            raise OptionError(f"must be of {', '.join(known)}, not {name!r}", key="--only")
+            raise OptionError(f"must be among {', '.join(known)}, not {name!r}", key="--only")
     chosen = [known[name] for name in only] if only else MEASUREMENTS
-    with bar("measuring", 1.0) as progress:
-        measured = measure(chosen, progress.at)
+    with progress_bar("measuring", 1.0) as progress:
+        measured = measure(chosen, progress.update)
     if only and file.exists():
         measured = slopes.merged(file, measured)
     slopes.write(file, measured)
@@ -165,10 +172,10 @@
 
 @app.command("capacity-page")
 def capacity_page(
-    folder: Annotated[Path, typer.Option(help="Where slopes.json and scale.json lie.")] = SLOPES.parent,
-    file: Annotated[Path, typer.Option(help="Write the page here.")] = Path("docs/CAPACITY.md"),
+    folder: Annotated[Path, typer.Option(help="Folder of slopes.json and scale.json.")] = SLOPES_FILE.parent,
+    file: Annotated[Path, typer.Option(help="Write the page to this file.")] = Path("docs/CAPACITY.md"),
 ) -> None:
-    """Write the capacity page and its plot from the measured figures, and nothing else."""
+    """Write the capacity page and its plot, only from the measured figures."""
     from stackrouter.capacity.page import write_page
 
     write_page(folder, file)
--- a/stackrouter/cli/checks.py
+++ b/stackrouter/cli/checks.py
@@ -1,4 +1,4 @@
-"""`serve` and `check`."""
+"""`serve` runs a gateway; `check` validates an operator's file."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def serve(
-    config: Annotated[Path, typer.Argument(help="The platform's JSON file, as GW_CONFIG names it.")],
-    edge: Annotated[Path | None, typer.Option(help="The operator's file, as GW_EDGE names it.")] = None,
+    config: Annotated[Path, typer.Argument(help="The platform's JSON file, as in GW_CONFIG.")],
+    edge: Annotated[Path | None, typer.Option(help="The operator's file, as in GW_EDGE.")] = None,
     log_format: Annotated[
-        Literal["text", "json"] | None, typer.Option(help="Form of the log's lines.")
+        Literal["text", "json"] | None, typer.Option(help="Format of the log lines.")
     ] = None,
 ) -> None:
-    """Run one gateway, as `python -m stackrouter` does."""
+    """Run one gateway, like `python -m stackrouter`."""
     os.environ["GW_CONFIG"] = str(config)
     if edge is not None:
         os.environ["GW_EDGE"] = str(edge)
@@ -33,11 +33,12 @@
 def check(
     file: Annotated[Path, typer.Argument(help="An operator's file, such as deploy/edge.txtpb.")],
     config: Annotated[
-        Path | None, typer.Option(help="The platform's file, for the names of classes and plans.")
+        Path | None,
+        typer.Option(help="The platform's JSON file, to check names of classes and plans against."),
     ] = None,
     as_json: AsJson = False,
 ) -> None:
-    """Say whether an operator's file can be used, and what it turns on."""
+    """Validate an operator's file and list what it enables."""
     from stackrouter.config import load
     from stackrouter.edge.load import load as load_edge
     from stackrouter.fronts.sftp.config import settings
@@ -51,14 +52,14 @@
             raise
         print_json({"ok": False, **error.fields()})
         raise typer.Exit(2) from None
-    on = [
+    enabled_parts = [
         part
         for part in ("sftp", "accounts", "trace", "coordination", "control")
         if getattr(edge, part).enabled
     ]
     if edge.control.listen:
-        on.append("control replica")
+        enabled_parts.append("control replica")
     if as_json:
-        print_json({"ok": True, "on": on, "edge": dataclasses.asdict(edge)})
+        print_json({"ok": True, "on": enabled_parts, "edge": dataclasses.asdict(edge)})
         return
-    print(f"{file}: can be used; on: {', '.join(on) or 'nothing'}; log: {edge.log.format}")
+    print(f"{file}: valid; enabled: {', '.join(enabled_parts) or 'nothing'}; log: {edge.log.format}")
--- a/stackrouter/cli/control.py
+++ b/stackrouter/cli/control.py
@@ -1,4 +1,4 @@
-"""`control`: run a replica of the control plane, and read its state."""
+"""`control`: runs a replica of the control plane and reads its state."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 import typer
 
-from stackrouter.cli.policy import Door, call_door
+from stackrouter.cli.policy import AdminAddress, call_admin
 from stackrouter.cli.shared import AsJson, out, print_json
 from stackrouter.errors import DoorSaidNoError, DoorUnreachableError
 
 if TYPE_CHECKING:
     from stackrouter.controlplane.status import ControlStatus, GatewayStatus
 
-app = typer.Typer(no_args_is_help=True, help="The control plane apart from the gateways.")
+app = typer.Typer(no_args_is_help=True, help="Replicas of the control plane that run outside the gateways.")
 
 
 @app.command()
@@ -29,57 +29,60 @@
 
 
 @app.command()
-def status(door: Door, as_json: AsJson = False) -> None:
-    """The state of a replica (who leads, what its gateways serve under, what it costs), or of a gateway that
+def status(door: AdminAddress, as_json: AsJson = False) -> None:
+    """Print the state of a replica (leader, versions its gateways have in force, costs) or of a gateway that
     observes one."""
-    told = _status(door)
+    answer = _fetch_status(door)
     if as_json:
-        print_json(asdict(told))
+        print_json(asdict(answer))
         return
-    for line in _gateway_lines(told) if told.role == "gateway" else _replica_lines(told):
+    for line in _gateway_lines(answer) if answer.role == "gateway" else _replica_lines(answer):
         out.print(line, soft_wrap=True)
 
 
-def _replica_lines(told: Any) -> list[str]:
-    counts = ", ".join(f"{count} under version {version}" for version, count in sorted(told.serving.items()))
+def _replica_lines(answer: Any) -> list[str]:
+    counts = ", ".join(
+        f"{count} under version {version}" for version, count in sorted(answer.serving.items())
+    )
     return [
-        f"replica {told.replica} ({told.role}), {'ready' if told.ready else 'not ready'}; "
-        f"leader {told.leader or 'not known'}, term {told.term}",
-        f"  change {told.position} of history {told.history[:12] or 'none'}, policy {told.active} active",
-        f"  {told.gateways} gateways; {counts or 'none has told'}",
-        *([f"  behind: {', '.join(told.behind)}"] if told.behind else []),
-        f"  {told.snapshots} snapshots begun, {told.snapshots_waiting} wait; {told.resumed} resumed, "
-        f"{told.rejected} rejected",
-        f"  {told.heartbeats} heartbeats, {told.barriers} barriers ({told.barriers_failed} failed), "
-        f"{told.log_entries} log entries, {told.changes} changes",
-        f"  {told.bytes_in} bytes in, {told.bytes_out} bytes out; in {told.uptime_s:g} s: {told.cpu_ms} ms "
-        f"CPU; {told.rss_mib:g} MiB; late by {told.late_ms:g} ms at most",
+        f"replica {answer.replica} ({answer.role}), {'ready' if answer.ready else 'not ready'}; "
+        f"leader {answer.leader or 'unknown'}, term {answer.term}",
+        f"  change {answer.position} of history {answer.history[:12] or 'none'}, policy "
+        f"{answer.active} active",
+        f"  {answer.gateways} gateways; {counts or 'no report yet'}",
+        *([f"  behind: {', '.join(answer.behind)}"] if answer.behind else []),
+        f"  {answer.snapshots} snapshots begun, {answer.snapshots_waiting} waiting; "
+        f"{answer.resumed} resumed, {answer.rejected} rejected",
+        f"  {answer.heartbeats} heartbeats, {answer.barriers} barriers ({answer.barriers_failed} failed), "
+        f"{answer.log_entries} log entries, {answer.changes} changes",
+        f"  {answer.bytes_in} bytes in, {answer.bytes_out} bytes out; in {answer.uptime_s:g} s: "
+        f"{answer.cpu_ms} ms CPU; {answer.rss_mib:g} MiB; timers late by at most {answer.late_ms:g} ms",
     ]
 
 
-def _gateway_lines(told: Any) -> list[str]:
+def _gateway_lines(answer: Any) -> list[str]:
     return [
-        f"gateway {told.gateway}, replica {told.replica or 'none'}, heartbeat "
-        f"{'valid' if told.heartbeat_valid else 'not valid'}",
-        f"  change {told.position} of history {told.history[:12] or 'none'}, serving version {told.serving} "
-        f"since {told.since_s:g} s",
-        f"  list {told.nodes_index}, {'from the control plane' if told.follows else 'asks discovery itself'}",
-        f"  {told.bytes_in} bytes in, {told.bytes_out} bytes out; {told.connections} connections, "
-        f"{told.hangups} ended here",
+        f"gateway {answer.gateway}, replica {answer.replica or 'none'}, heartbeat "
+        f"{'valid' if answer.heartbeat_valid else 'not valid'}",
+        f"  change {answer.position} of history {answer.history[:12] or 'none'}, serving version "
+        f"{answer.serving} for {answer.since_s:g} s",
+        f"  list {answer.nodes_index}, {'from the control plane' if answer.follows else 'from discovery'}",
+        f"  {answer.bytes_in} bytes in, {answer.bytes_out} bytes out; {answer.connections} connections, "
+        f"{answer.hangups} closed by this gateway",
     ]
 
 
-def _status(door: str) -> ControlStatus | GatewayStatus:
-    """Checked as it is read: what answers there may be neither, or another version of one."""
+def _fetch_status(door: str) -> ControlStatus | GatewayStatus:
+    """Reads and validates the status: the peer may be neither, or run another version of the software."""
     from pydantic import TypeAdapter, ValidationError
 
     from stackrouter.controlplane.status import ControlStatus, GatewayStatus
 
-    kind, told = call_door(door, "control status")
-    if kind != "SUCCESS":
-        raise DoorSaidNoError(told, address=door)
+    outcome, answer = call_admin(door, "control status")
+    if outcome != "SUCCESS":
+        raise DoorSaidNoError(answer, address=door)
     try:
         adapter: TypeAdapter[ControlStatus | GatewayStatus] = TypeAdapter(ControlStatus | GatewayStatus)
-        return adapter.validate_json(told)
+        return adapter.validate_json(answer)
     except ValidationError as error:
         raise DoorUnreachableError(f"no control status: {error}", address=door) from None
--- a/stackrouter/cli/explain.py
+++ b/stackrouter/cli/explain.py
@@ -1,4 +1,4 @@
-"""`explain`: what an error's code means and what to do."""
+"""`explain`: the meaning of an error code and the remedy."""
 
 from __future__ import annotations
 
@@ -12,27 +12,28 @@
 
 def explain(
     code: Annotated[
-        str, typer.Argument(help="As an error's line begins: SR-...; all codes without it.")
+        str,
+        typer.Argument(help="The code at the start of an error line, SR-...; lists all codes if omitted."),
     ] = "",
-    whole: Annotated[
-        bool, typer.Option("--page", help="The operators' page of all errors, as Markdown.")
+    as_page: Annotated[
+        bool, typer.Option("--page", help="Print the operators' page of all errors as Markdown.")
     ] = False,
     as_json: AsJson = False,
 ) -> None:
-    """Say what an error means and what can be done."""
-    if whole:
+    """Print what an error code means and what to do."""
+    if as_page:
         print(page(), end="")
         return
-    wanted = code.upper().rstrip(":")
-    if wanted and wanted not in TABLE:
-        raise CodeError(f"no error has the code {code!r}")
-    found = {name: {"means": TABLE[name].means(), "do": TABLE[name].do} for name in sorted(TABLE)}
-    if wanted:
-        found = {wanted: found[wanted]}
+    requested = code.upper().rstrip(":")
+    if requested and requested not in TABLE:
+        raise CodeError(f"unknown error code {code!r}")
+    entries = {name: {"means": TABLE[name].means(), "do": TABLE[name].do} for name in sorted(TABLE)}
+    if requested:
+        entries = {requested: entries[requested]}
     if as_json:
-        print_json(found)
+        print_json(entries)
         return
-    for name, entry in found.items():
-        out.print(name if wanted else f"{name}  {entry['means']}", soft_wrap=True)
-        if wanted:
+    for name, entry in entries.items():
+        out.print(name if requested else f"{name}  {entry['means']}", soft_wrap=True)
+        if requested:
             out.print(f"  {entry['means']}\n  What to do: {entry['do']}", soft_wrap=True)
--- a/stackrouter/cli/main.py
+++ b/stackrouter/cli/main.py
@@ -1,4 +1,4 @@
-"""`stackrouter`: one command for operators. Each part is imported only when its command runs."""
+"""The `stackrouter` command. A subcommand imports the packages it needs only when it runs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 app = typer.Typer(name="stackrouter", no_args_is_help=True, rich_markup_mode=None,
                   context_settings={"help_option_names": ["-h", "--help"]},
-                  help="A storage gateway, and the tools to see what it does.")  # fmt: skip
+                  help="A storage gateway and the tools to operate and inspect it.")  # fmt: skip
 app.command("serve")(checks.serve)
 app.command("check")(checks.check)
 app.command("explain")(explain.explain)
@@ -27,8 +27,8 @@
 app.add_typer(bench.app, name="bench")
 
 
-def _version(wanted: bool) -> None:
-    if wanted:
+def _version(requested: bool) -> None:
+    if requested:
         print(f"stackrouter {version('stackrouter')}")
         raise typer.Exit
 
@@ -36,13 +36,14 @@
 @app.callback()
 def root(
     _version: Annotated[
-        bool, typer.Option("--version", callback=_version, is_eager=True, help="Say the version and end.")
+        bool, typer.Option("--version", callback=_version, is_eager=True, help="Print the version and exit.")
     ] = False,
 ) -> None:
-    """Exit codes: 0 done, 1 what was asked for does not hold, 2 usage or input."""
+    """Exit codes: 0 success, 1 a check failed, 2 bad usage or input."""
 
 
 def main() -> None:
+    """Entry point: prints an error of the program as one line and exits with code 2."""
     try:
         app()
     except StackrouterError as error:
--- a/stackrouter/cli/trace.py
+++ b/stackrouter/cli/trace.py
@@ -1,4 +1,4 @@
-"""`trace show` and `trace cut`."""
+"""`trace show` prints the contents of trace files; `trace cut` copies a time range of them."""
 
 from __future__ import annotations
 
@@ -11,44 +11,48 @@
 import typer
 from rich.table import Table
 
-from stackrouter.cli.shared import NOT_SO, AsJson, out, print_json
+from stackrouter.cli.shared import EXIT_CHECK_FAILED, AsJson, out, print_json
 from stackrouter.errors import OutputError
 from stackrouter.trace.read import Traces
 
-app = typer.Typer(no_args_is_help=True, help="Look at traces, and take parts of them.")
+app = typer.Typer(no_args_is_help=True, help="Inspect traces and extract parts of them.")
 
-Files = Annotated[list[Path], typer.Argument(help="Trace files; those of several gateways are merged.")]
+Files = Annotated[list[Path], typer.Argument(help="Trace files; files of several gateways are merged.")]
 
 
-def opened(files: Sequence[Path]) -> Traces:
+def open_trace_files(files: Sequence[Path]) -> Traces:
+    """Opens the files. TraceReadError: one cannot be read, or has no whole block."""
     from stackrouter.trace.read import open_traces
 
     return open_traces(files)
 
 
-def warnings(traces: Traces) -> list[str]:
-    """What could not be read, a line each."""
-    found = [f"{path}: bytes {d.begin} to {d.end}: {d.why}" for path, d in traces.damage]
+def read_problems(traces: Traces) -> list[str]:
+    """Describes each stretch that could not be read, and facts that were not recorded; one line each."""
+    problems_found = [
+        f"{path}: bytes {damaged.begin} to {damaged.end}: {damaged.why}" for path, damaged in traces.damage
+    ]
     if traces.left_out:
-        found.append(f"{traces.left_out} facts were not recorded: the gateway could not keep up")
-    return found
+        problems_found.append(f"{traces.left_out} facts were not recorded: the gateway could not keep up")
+    return problems_found
 
 
-def moment(us: int) -> str:
+def format_time(us: int) -> str:
+    """A Unix time in microseconds as ISO 8601 in UTC, to the millisecond."""
     return datetime.fromtimestamp(us / 1e6, UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
 
 
 @app.command()
 def show(
     files: Files,
-    facts: Annotated[int, typer.Option(min=0, help="Show so many facts, too.")] = 0,
-    request: Annotated[int, typer.Option(help="Show the facts of this request alone.")] = 0,
+    facts: Annotated[int, typer.Option(min=0, help="Also show up to this many facts.")] = 0,
+    request: Annotated[int, typer.Option(help="Show only the facts of this request.")] = 0,
     as_json: AsJson = False,
 ) -> None:
-    """Say what is in traces. Exit code 1: some of it could not be read."""
+    """Summarize traces. Exit code 1: some blocks could not be read."""
     from stackrouter.trace.read import merge, shift_us
 
-    traces = opened(files)
+    traces = open_trace_files(files)
     rows: list[dict[str, Any]] = []
     for run in traces.runs:
         kinds: Counter[str] = Counter()
@@ -56,11 +60,11 @@
         for fact in run.read():
             kinds[type(fact).__name__.lower()] += 1
             first, last = (fact.at if first < 0 else first), fact.at
-        shift = shift_us(run.header)
+        offset_us = shift_us(run.header)
         rows.append(
             {
                 "gateway": run.header.gateway,
-                "from": moment(first + shift),
+                "from": format_time(first + offset_us),
                 "seconds": round((last - first) / 1e6, 3),
                 "blocks": len(run.blocks),
                 "facts": run.count,
@@ -70,18 +74,18 @@
         )
     shown = []
     if facts or request:
-        for place, fact in merge(traces.runs):
+        for run_index, fact in merge(traces.runs):
             if not request or getattr(fact, "request", None) == request:
-                shown.append((traces.runs[place].header.gateway, fact))
+                shown.append((traces.runs[run_index].header.gateway, fact))
             if facts and len(shown) >= facts:
                 break
-    problems = warnings(traces)
+    problems = read_problems(traces)
     if as_json:
         print_json(
             {
                 "runs": rows,
                 "problems": problems,
-                "facts": [[g, type(f).__name__.lower(), *map(_plain, f)] for g, f in shown],
+                "facts": [[g, type(f).__name__.lower(), *map(_plain_value, f)] for g, f in shown],
             }
         )
     else:
@@ -99,15 +103,18 @@
         for row in rows:
             out.print(f"{row['gateway']}: " + ", ".join(f"{n} {kind}" for kind, n in row["kinds"].items()))
         for gateway, fact in shown:
-            values = " ".join(f"{k}={_plain(v)}" for k, v in fact._asdict().items() if k != "at")
-            out.print(f"{moment(fact.at)} {gateway} {type(fact).__name__.lower():8} {values}", soft_wrap=True)
+            values = " ".join(f"{k}={_plain_value(v)}" for k, v in fact._asdict().items() if k != "at")
+            out.print(
+                f"{format_time(fact.at)} {gateway} {type(fact).__name__.lower():8} {values}", soft_wrap=True
+            )
         for problem in problems:
             out.print(f"problem: {problem}", soft_wrap=True)
     if traces.damage:
-        raise typer.Exit(NOT_SO)
+        raise typer.Exit(EXIT_CHECK_FAILED)
 
 
-def _plain(value: Any) -> Any:
+def _plain_value(value: Any) -> Any:
+    """A field of a fact for output: node lists as their length, enums as their values."""
     if isinstance(value, tuple):
         return f"{len(value)} nodes"
     if isinstance(value, dict):
@@ -119,27 +126,29 @@
 def cut(
     files: Files,
     output: Annotated[Path, typer.Option("--output", "-o", help="The file to write.")],
-    since: Annotated[float, typer.Option(help="From so many seconds after the start.")] = 0.0,
-    until: Annotated[float, typer.Option(help="Up to so many seconds after it; 0: the end.")] = 0.0,
+    since: Annotated[float, typer.Option(help="Start of the range, in seconds after the first fact.")] = 0.0,
+    until: Annotated[
+        float, typer.Option(help="End of the range, in seconds after the first fact; 0: no end.")
+    ] = 0.0,
     as_json: AsJson = False,
 ) -> None:
-    """Write a part of traces to a file of its own, with what was not whole left out."""
+    """Copy a time range of traces to a new file; damaged blocks are omitted."""
     from stackrouter.trace.codec import encode
     from stackrouter.trace.format import Place, pack, pack_index
     from stackrouter.trace.read import shift_us
 
     if any(output.resolve() == file.resolve() for file in files):
         raise OutputError("is one of the files to read", file=output)
-    traces = opened(files)
+    traces = open_trace_files(files)
     starts = [next(run.read()).at + shift_us(run.header) for run in traces.runs]
-    begin = min(starts) + round(since * 1e6)
-    end = min(starts) + round(until * 1e6) if until else 1 << 62
+    begin_us = min(starts) + round(since * 1e6)
+    end_us = min(starts) + round(until * 1e6) if until else 1 << 62
     places: list[Place] = []
     written = 0
     try:
         with output.open("wb") as file:
             for run in traces.runs:
-                shift, first = shift_us(run.header), 0
+                offset_us, first = shift_us(run.header), 0
                 batch = []
 
                 def flush(run: Any, batch: list[Any], first: int) -> int:
@@ -148,7 +157,7 @@
                     return first + len(batch)
 
                 for fact in run.read():
-                    if begin <= fact.at + shift <= end:
+                    if begin_us <= fact.at + offset_us <= end_us:
                         batch.append(fact)
                         if len(batch) >= 4096:
                             first, batch = flush(run, batch, first), []
@@ -159,8 +168,8 @@
     except OSError as error:
         raise OutputError(error.strerror, file=output) from None
     if as_json:
-        print_json({"facts": written, "blocks": len(places), "problems": warnings(traces)})
+        print_json({"facts": written, "blocks": len(places), "problems": read_problems(traces)})
     else:
         out.print(f"{output}: {written} facts in {len(places)} blocks")
     if not written:
-        raise typer.Exit(NOT_SO)
+        raise typer.Exit(EXIT_CHECK_FAILED)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, the operator's file, and what a start without it must not load."""
+"""Tests of the command line, of parsing the operator's file, and of the imports of a start without one."""
 
 from __future__ import annotations
 
@@ -21,20 +21,21 @@
 
 
 def run(*words: str, environ: dict[str, str] | None = None) -> subprocess.CompletedProcess[str]:
+    """Runs the command line in a child process, without GW_ variables of the caller."""
     command = [sys.executable, "-m", "stackrouter.cli.main", *words]
-    clean = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
+    clean_environ = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
     return subprocess.run(
         command,
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
-        env=clean | (environ or {}),
+        env=clean_environ | (environ or {}),
         check=False,
     )
 
 
-VOTER = (
+VOTER_TEXT = (
     'coordination { enabled: true folder: "f" peer { name: "a" address: "h:1" } policy { enabled: true } }'
 )
 
@@ -85,13 +86,13 @@
             "control.max_drift_ms: must be less than half of touch_ms (1000), not 500",
         ),
         ("control { limits { gateways: 0 } }", "control.limits.gateways: input should be greater than"),
-        (f'{VOTER} control {{ listen: "h:2" admin: "h:3" }}', "control.discovery: must be set"),
+        (f'{VOTER_TEXT} control {{ listen: "h:2" admin: "h:3" }}', "control.discovery: must be set"),
         (
-            f'{VOTER} control {{ listen: "h:2" replica {{ name: "b" address: "h:4" region: "r" }} }}',
+            f'{VOTER_TEXT} control {{ listen: "h:2" replica {{ name: "b" address: "h:4" region: "r" }} }}',
             "control.replica: must not be set where coordination is enabled",
         ),
         (
-            f'{VOTER} control {{ listen: "h:2" admin: "h:3" discovery: "h:4" touch_ms: 3000 }}',
+            f'{VOTER_TEXT} control {{ listen: "h:2" admin: "h:3" discovery: "h:4" touch_ms: 3000 }}',
             "control.touch_ms: must be less than coordination.policy.after_ms (3000)",
         ),
         ('control { listen: "h:2" admin: "h:3" }', "control.name: must be set"),
@@ -110,14 +111,16 @@
         ),
     ],
 )
-def test_errors_in_the_operators_file_name_the_place_and_what_is_allowed(text: str, error: str) -> None:
+def test_errors_in_the_operators_file_name_the_field_and_the_valid_values(text: str, error: str) -> None:
+    """Guards against error messages that span several lines or omit the file, the field or its constraint."""
     with pytest.raises(EdgeError) as caught:
         parse(text, "edge.txtpb")
     assert str(caught.value).startswith("edge.txtpb: ") and error in str(caught.value)
     assert "\n" not in str(caught.value)
 
 
-def test_the_files_that_the_operators_page_shows_can_be_used() -> None:
+def test_the_example_files_in_the_operators_documentation_are_valid() -> None:
+    """Guards against examples in docs/operators/coordination.md that do not parse after a schema change."""
     page = (ROOT / "docs" / "operators" / "coordination.md").read_text()
     blocks = [
         b
@@ -135,10 +138,10 @@
     assert kinds == [member, voter, observing, gateway]
 
 
-def test_the_shipped_file_can_be_used_and_check_says_so() -> None:
+def test_the_shipped_file_is_valid_and_check_reports_it() -> None:
     assert load_apart(ROOT / "deploy" / "edge.txtpb").accounts.enabled
-    done = run("check", "deploy/edge.txtpb", "--json")
-    assert done.returncode == 0 and json.loads(done.stdout)["on"] == ["accounts"]
+    completed = run("check", "deploy/edge.txtpb", "--json")
+    assert completed.returncode == 0 and json.loads(completed.stdout)["on"] == ["accounts"]
 
 
 def test_bad_input_is_one_line_and_exit_2(tmp_path: Path) -> None:
@@ -153,31 +156,36 @@
         ("fleet", "run", "--nemesis", "flood"),
         ("fleet", "run", "--members", "9-3"),
     ):
-        done = run(*words)
-        assert done.returncode == 2 and done.stdout == "", words
-        assert done.stderr.startswith("stackrouter: SR-") and done.stderr.count("\n") == 1, done.stderr
+        completed = run(*words)
+        assert completed.returncode == 2 and completed.stdout == "", words
+        assert (
+            completed.stderr.startswith("stackrouter: SR-") and completed.stderr.count("\n") == 1
+        ), completed.stderr
 
 
-def test_a_door_that_is_no_members_is_named_not_believed() -> None:
+def test_an_answer_that_is_no_policy_status_is_rejected_with_the_address() -> None:
+    """Guards against a traceback or a trusted answer where another service listens on the admin address."""
     with socket.create_server(("127.0.0.1", 0)) as server:
-        door = "{}:{}".format(*server.getsockname())
+        address = "{}:{}".format(*server.getsockname())
 
-        def stranger() -> None:
+        def answer_once() -> None:
             sock, _ = server.accept()
             with sock:
                 sock.recv(256)
                 sock.sendall(b'SUCCESS {"version": "newest"}\n')
 
-        threading.Thread(target=stranger, daemon=True).start()
-        done = run("policy", "status", "--door", door)
-    assert done.returncode == 2 and done.stderr.count("\n") == 1, done.stderr
-    assert done.stderr.startswith(f"stackrouter: SR-INPUT-DOOR: {door}: no policy status: ")
+        threading.Thread(target=answer_once, daemon=True).start()
+        completed = run("policy", "status", "--door", address)
+    assert completed.returncode == 2 and completed.stderr.count("\n") == 1, completed.stderr
+    assert completed.stderr.startswith(f"stackrouter: SR-INPUT-DOOR: {address}: no policy status: ")
 
 
-def test_explain_says_what_a_code_means_and_what_to_do() -> None:
-    done = run("explain", "sr-discovery-silent")
+def test_explain_prints_the_meaning_of_a_code_and_the_remedy() -> None:
+    completed = run("explain", "sr-discovery-silent")
     assert (
-        done.returncode == 0 and "was not answered in time" in done.stdout and "drain no nodes" in done.stdout
+        completed.returncode == 0
+        and "was not answered in time" in completed.stdout
+        and "drain no nodes" in completed.stdout
     )
     assert len(json.loads(run("explain", "--json").stdout)) > 40
     assert run("explain", "SR-NONE").returncode == 2
@@ -190,31 +198,34 @@
         ({"GW_EDGE": "/none/edge.txtpb"}, "/none/edge.txtpb: No such file"),
     ],
 )
-def test_a_start_with_a_file_that_cannot_be_used_says_why(
+def test_a_start_with_an_unusable_file_prints_the_reason(
     tmp_path: Path, environ: dict[str, str], error: str
 ) -> None:
     from tests.exchange import SETTINGS
 
     config = tmp_path / "config.json"
-    told = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-    config.write_text(json.dumps(told))
-    told_by = {**os.environ, "GW_CONFIG": str(config), **environ}
+    config_values = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": SETTINGS}
+    config.write_text(json.dumps(config_values))
+    environment = {**os.environ, "GW_CONFIG": str(config), **environ}
     command = [sys.executable, "-m", "stackrouter"]
-    done = subprocess.run(
-        command, cwd=ROOT, capture_output=True, text=True, timeout=30, env=told_by, check=False
+    completed = subprocess.run(
+        command, cwd=ROOT, capture_output=True, text=True, timeout=30, env=environment, check=False
     )
-    assert done.returncode == 2 and error in done.stderr and done.stderr.count("\n") == 1
+    assert completed.returncode == 2 and error in completed.stderr and completed.stderr.count("\n") == 1
 
 
 OPTIONAL_PARTS = ("accounts", "trace", "edge", "cli", "coord", "controlplane", "fleet", "model")
 
 
-def test_the_platforms_start_imports_nothing_that_is_off() -> None:
+def test_a_start_without_an_operators_file_imports_no_optional_module() -> None:
+    """Guards against optional packages loaded by an import in a module that every start needs."""
     off = "google pydantic zstandard structlog hdrh typer rich jinja2 annotated_types pysyncobj".split()
-    off += [f"stackrouter.{part}" for part in OPTIONAL_PARTS]
+    off += [f"stackrouter.{package}" for package in OPTIONAL_PARTS]
     code = f"import sys, stackrouter.__main__; print([m for m in {off} if m in sys.modules])"
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert done.stdout == "[]\n"
+    completed = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert completed.stdout == "[]\n"
 
 
 @pytest.mark.parametrize(
@@ -226,46 +237,51 @@
     ],
 )
 def test_generated_code_is_current(schema: str, tmp_path: Path) -> None:
-    made = [sys.executable, "-m", "grpc_tools.protoc", "-I", ".", f"--python_out={tmp_path}"]
-    subprocess.run([*made, f"--pyi_out={tmp_path}", schema], cwd=ROOT, check=True)
-    for end in ("_pb2.py", "_pb2.pyi"):
-        name = schema.replace(".proto", end)
+    """Guards against a changed .proto file whose Python code was not generated again."""
+    protoc_command = [sys.executable, "-m", "grpc_tools.protoc", "-I", ".", f"--python_out={tmp_path}"]
+    subprocess.run([*protoc_command, f"--pyi_out={tmp_path}", schema], cwd=ROOT, check=True)
+    for suffix in ("_pb2.py", "_pb2.pyi"):
+        name = schema.replace(".proto", suffix)
         assert (tmp_path / name).read_text() == (ROOT / name).read_text()
 
 
-def test_a_trace_of_the_model_is_reported_shown_and_cut(tmp_path: Path) -> None:
-    trace, part, page = tmp_path / "t.trace", tmp_path / "part.trace", tmp_path / "t.html"
-    done = run("model", "run", "--seed", "8", "--noisy", "writes", "--seconds", "6", "--trace", str(trace))
-    noisy = json.loads(done.stdout)["noisy"]
-    assert noisy.encode() in trace.read_bytes() or done.returncode == 0
-    done = run("report", "latency", str(trace), "--json", "--html", str(page))
-    found = json.loads(done.stdout)
-    assert done.returncode == 0 and found["causes"][0]["volume"] == noisy
-    assert {"causes", "pairs", "node_us", "unattributed_us", "sketch_error_us"} <= set(found)
+def test_report_show_and_cut_read_a_trace_of_the_simulation(tmp_path: Path) -> None:
+    trace, part_file, page = tmp_path / "t.trace", tmp_path / "part.trace", tmp_path / "t.html"
+    completed = run(
+        "model", "run", "--seed", "8", "--noisy", "writes", "--seconds", "6", "--trace", str(trace)
+    )
+    noisy = json.loads(completed.stdout)["noisy"]
+    assert noisy.encode() in trace.read_bytes() or completed.returncode == 0
+    completed = run("report", "latency", str(trace), "--json", "--html", str(page))
+    output = json.loads(completed.stdout)
+    assert completed.returncode == 0 and output["causes"][0]["volume"] == noisy
+    assert {"causes", "pairs", "node_us", "unattributed_us", "sketch_error_us"} <= set(output)
     text = page.read_text()
     assert noisy in text and text.count("<svg") == 4 and "http-equiv" not in text and "<script" not in text
-    assert run("trace", "cut", str(trace), "-o", str(part), "--since", "1", "--until", "3").returncode == 0
-    shown = json.loads(run("trace", "show", str(part), "--json").stdout)
+    assert (
+        run("trace", "cut", str(trace), "-o", str(part_file), "--since", "1", "--until", "3").returncode == 0
+    )
+    shown = json.loads(run("trace", "show", str(part_file), "--json").stdout)
     assert len(shown["runs"]) == 3 and all(row["seconds"] <= 2 for row in shown["runs"])
-    part.write_bytes(trace.read_bytes()[:-5000])
-    done = run("trace", "show", str(part))
-    assert done.returncode == 1 and "the file ends within a block" in done.stdout
+    part_file.write_bytes(trace.read_bytes()[:-5000])
+    completed = run("trace", "show", str(part_file))
+    assert completed.returncode == 1 and "the file ends within a block" in completed.stdout
 
 
-def test_the_demo_plays_ends_and_its_traces_name_the_noisy_volume(tmp_path: Path) -> None:
-    done = run("demo", "--seconds", "12", "--noisy", "priority", "--json", "--trace", str(tmp_path))
-    assert done.returncode == 0, done.stderr
-    found = json.loads(done.stdout)
-    assert found["exits"] == [0, 0] and sum(row["served"] for row in found["volumes"]) > 500
+def test_the_demo_exits_cleanly_and_its_traces_identify_the_noisy_volume(tmp_path: Path) -> None:
+    completed = run("demo", "--seconds", "12", "--noisy", "priority", "--json", "--trace", str(tmp_path))
+    assert completed.returncode == 0, completed.stderr
+    output = json.loads(completed.stdout)
+    assert output["exits"] == [0, 0] and sum(row["served"] for row in output["volumes"]) > 500
     traces = sorted(str(path) for path in tmp_path.glob("*.trace"))
-    done = run("report", "latency", *traces, "--json")
-    assert done.returncode == 0, done.stderr
-    report = json.loads(done.stdout)
-    assert report["causes"][0]["volume"] == found["noisy"] and report["gateways"] == ["g1", "g2"]
+    completed = run("report", "latency", *traces, "--json")
+    assert completed.returncode == 0, completed.stderr
+    report = json.loads(completed.stdout)
+    assert report["causes"][0]["volume"] == output["noisy"] and report["gateways"] == ["g1", "g2"]
 
 
-def test_the_operators_file_is_read_in_place_where_fork_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The mass bench's clock refuses fork with ENOSYS; the file must still be read, whole.
+def test_the_operators_file_is_read_in_process_if_fork_fails(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Under the mass bench's clock, fork fails with ENOSYS; the file must still be read completely.
     def refused() -> int:
         raise OSError(errno.ENOSYS, "fork refused")
 
@@ -275,9 +291,9 @@
 
 
 def test_the_table_of_bench_accounts_fits_80_columns() -> None:
-    # Given room, rich lays the table out at its natural width; on 80 columns it would fold cells instead.
-    done = run("bench", "accounts", "--adds", "1000", "--repeats", "1", environ={"COLUMNS": "200"})
-    assert done.returncode == 0, done.stderr
-    lines = done.stdout.splitlines()
-    assert len(lines) >= 7, done.stdout
-    assert max(len(line.rstrip()) for line in lines) <= 80, done.stdout
+    # COLUMNS=200 makes rich use the table's natural width; with 80 columns it would wrap cells instead.
+    completed = run("bench", "accounts", "--adds", "1000", "--repeats", "1", environ={"COLUMNS": "200"})
+    assert completed.returncode == 0, completed.stderr
+    lines = completed.stdout.splitlines()
+    assert len(lines) >= 7, completed.stdout
+    assert max(len(line.rstrip()) for line in lines) <= 80, completed.stdout
