--- a/benchmarks/attribution.py
+++ b/benchmarks/attribution.py
@@ -1,8 +1,8 @@
-"""What the accounts charge to the noisy volume, over the delay that it created, seed by seed.
+"""Delay that the accounts charge to the noisy volume, as a ratio to the delay that it created, by seed.
 
     python benchmarks/attribution.py --seeds 40 [--first 100] [--jobs 4] [--kinds basic,writes]
 
-Delay created: what the other volumes' requests took with the noise, less what they took without it.
+Delay created: the latency of the other volumes' requests with the noise minus that without it.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 from stackrouter.model.traffic import Noisy, settings_for
 
 
-def one(task: tuple[Noisy, int]) -> tuple[bool, float, float, float]:
-    """Is the noisy volume first; its charge over the delay created; that delay; the largest share."""
+def measure_seed(task: tuple[Noisy, int]) -> tuple[bool, float, float, float]:
+    """Whether the noisy volume ranks first, its charge over the delay created, that delay in seconds, and the
+    largest share of all delay that is charged to one volume."""
     noisy, seed = task
-    seen: list[tuple[int, facts.Fact]] = []
-    subscribers = [lambda fact, g=g: seen.append((g, fact)) for g in range(3)]
-    loud = play(seed, noisy, subscribers=subscribers)
+    recorded: list[tuple[int, facts.Fact]] = []
+    subscribers = [lambda fact, g=g: recorded.append((g, fact)) for g in range(3)]
+    noisy_run = play(seed, noisy, subscribers=subscribers)
     settings = settings_for(3, 9, seed)
     rates = [plan.usual_units_per_s for plan in settings.plans]
     usual = Usual(
@@ -31,17 +32,19 @@
     )
 
     def stream() -> Iterator[tuple[int, facts.Fact]]:
-        return iter(seen)
+        return iter(recorded)
 
-    book = read(usual, stream)
-    [((volume, _), largest), *_] = book.causes.largest(1)
-    everything = book.causes.total + book.node_us + book.own_us + book.unattributed_us
-    if loud.noisy is None:
-        return False, 0.0, 0.0, largest.us / everything
-    quiet = play(seed, noisy, with_noise=False)
-    created = sum(us - quiet.latency_us[v] for v, us in loud.latency_us.items() if v != loud.noisy)
-    charged = sum(s.us for (v, _), s in book.causes.items() if v == loud.noisy)
-    return volume == loud.noisy, charged / created, created / 1e6, largest.us / everything
+    accounts = read(usual, stream)
+    [((volume, _), largest), *_] = accounts.causes.largest(1)
+    total_us = accounts.causes.total + accounts.node_us + accounts.own_us + accounts.unattributed_us
+    if noisy_run.noisy is None:
+        return False, 0.0, 0.0, largest.us / total_us
+    quiet_run = play(seed, noisy, with_noise=False)
+    created_us = sum(
+        us - quiet_run.latency_us[v] for v, us in noisy_run.latency_us.items() if v != noisy_run.noisy
+    )
+    charged_us = sum(s.us for (v, _), s in accounts.causes.items() if v == noisy_run.noisy)
+    return volume == noisy_run.noisy, charged_us / created_us, created_us / 1e6, largest.us / total_us
 
 
 def main() -> None:
@@ -54,7 +57,7 @@
     for kind in map(Noisy, args.kinds.split(",")):
         seeds = range(args.first, args.first + args.seeds)
         with Pool(args.jobs) as pool:
-            rows = pool.map(one, [(kind, seed) for seed in seeds])
+            rows = pool.map(measure_seed, [(kind, seed) for seed in seeds])
         if kind is Noisy.NONE:
             print(f"none      largest share of all delay: {max(row[3] for row in rows):.2f}", flush=True)
             continue
@@ -66,7 +69,8 @@
             if not 0.9 <= row[1] <= 1.2
         ]
         print(
-            f"{kind.value:9} first {sum(row[0] for row in rows)}/{len(rows)}  within 0.9 to 1.2 {inside}/{len(rows)}"
+            f"{kind.value:9} first {sum(row[0] for row in rows)}/{len(rows)}"
+            f"  within 0.9 to 1.2 {inside}/{len(rows)}"
             f"  median {statistics.median(ratios):.2f} ({ratios[0]:.2f} to {ratios[-1]:.2f})"
             f"  outside: {'; '.join(outside) or 'none'}",
             flush=True,
--- a/benchmarks/control_frames.py
+++ b/benchmarks/control_frames.py
@@ -1,9 +1,9 @@
-"""Bytes of a list of storage nodes, one changed entry and a heartbeat on the control plane's connections.
+"""Encoded sizes on the control plane's connections: a list of storage nodes, one changed entry, a heartbeat.
 
     python benchmarks/control_frames.py
 
-Names, addresses and ages are drawn at random from a fixed seed, so that they do not compress better than real
-ones. Prints one line a size of the list, then one for the heartbeat and its answer.
+Names, addresses and ages are random with a fixed seed, so that they compress no better than real ones. Prints
+one line for each list size, then one for the heartbeat and its answer.
 """
 
 from __future__ import annotations
@@ -27,29 +27,29 @@
 )
 from stackrouter.controlplane.snapshot import NODES_IN_CHUNK
 
-SIZES = (60, 1_000, 4_000, 17_000)
-ZONES = 11
-LONG_AGO_MS, NOW_MS = 1_700_000_000_000, 1_790_000_000_000
+LIST_SIZES = (60, 1_000, 4_000, 17_000)
+ZONE_COUNT = 11
+OLDEST_SINCE_MS, NEWEST_SINCE_MS = 1_700_000_000_000, 1_790_000_000_000
 
 
 def endpoint(number: int, rng: random.Random) -> dict[str, Any]:
-    """One entry as discovery tells it."""
+    """One node as an entry of discovery's answer."""
     host = ".".join(str(rng.randrange(256)) for _ in range(3))
     return {
         "name": f"s-{rng.getrandbits(32):08x}",
         "address": f"10.{host}:6379",
         "group": number,
         "status": "up",
-        "zone": f"zone-{number % ZONES}",
+        "zone": f"zone-{number % ZONE_COUNT}",
         "type": "std",
         "weight": 1.0,
-        "since_ms": rng.randrange(LONG_AGO_MS, NOW_MS),
+        "since_ms": rng.randrange(OLDEST_SINCE_MS, NEWEST_SINCE_MS),
     }
 
 
 def main() -> None:
     rng = random.Random(1)
-    for size in SIZES:
+    for size in LIST_SIZES:
         endpoints = [endpoint(number, rng) for number in range(size)]
         nodes = [Node(**values) for values in endpoints]
         chunks = [
--- a/benchmarks/control_heartbeats.py
+++ b/benchmarks/control_heartbeats.py
@@ -1,10 +1,10 @@
-"""What a heartbeat costs a control replica, over loopback:
+"""CPU and bytes of a heartbeat at a control replica, over loopback:
 
     python benchmarks/control_heartbeats.py --gateways 1114
 
-The listener and its state machine run in this process, round a quorum that is made up: each barrier is
-confirmed after `--barrier-ms`. The gateways are `ObserverClient`s in a child process. The last line is JSON:
-heartbeats a second, this process's CPU for each, bytes for each, and the lateness of this process's timers.
+The listener and its state machine run in this process with a simulated quorum: each barrier is confirmed
+after `--barrier-ms`. The gateways are `ObserverClient`s in a child process. The last line is JSON:
+heartbeats per second, this process's CPU and bytes per heartbeat, and the lateness of this process's timers.
 """
 
 from __future__ import annotations
@@ -34,21 +34,21 @@
 
 POSITION = LogPosition("benchmark", 1)
 RULES = Rules(validity_us=2_000_000, max_drift_us=200_000)
-SETTLE_S = 3.0
+SETTLE_TIME_S = 3.0
 
 
-class NoSink:
-    """Takes nothing."""
+class NullSink:
+    """Ignores policies and lists."""
 
     def take_policy(self, body: str) -> None:
-        """Nothing to do."""
+        """Ignores the policy."""
 
     def take_nodes(self, piece: TakeNodes) -> None:
-        """Nothing to do."""
+        """Ignores the list."""
 
 
 def serve(gateways: int, seconds: float, barrier_ms: float) -> dict[str, float]:
-    """Serve the child's gateways for so long; the figures."""
+    """Serves the child's gateways for `seconds` and returns the figures."""
     server: ControlServer
 
     def start_barrier(barrier: int, report: ServingReport) -> None:
@@ -62,24 +62,30 @@
     lateness = Lateness()
     lateness.start()
     command = [sys.executable, __file__, "--connect", str(server.address[1]), "--gateways", str(gateways)]
-    child = subprocess.Popen([*command, "--seconds", str(seconds + SETTLE_S)])
+    child = subprocess.Popen([*command, "--seconds", str(seconds + SETTLE_TIME_S)])
     while machine.serving_report().gateways < gateways:
         gevent.sleep(0.05)
-    gevent.sleep(SETTLE_S)
-    began, cpu, heard = time.monotonic(), cpu_ms(), machine.counts.heartbeats
-    carried = server.figures()
+    gevent.sleep(SETTLE_TIME_S)
+    started_s, used_cpu_ms, heartbeats = time.monotonic(), cpu_ms(), machine.counts.heartbeats
+    start_figures = server.figures()
     gevent.sleep(seconds)
-    took_s, heard, cpu = time.monotonic() - began, machine.counts.heartbeats - heard, cpu_ms() - cpu
-    now = server.figures()
+    elapsed_s, heartbeats, used_cpu_ms = (
+        time.monotonic() - started_s,
+        machine.counts.heartbeats - heartbeats,
+        cpu_ms() - used_cpu_ms,
+    )
+    end_figures = server.figures()
     child.terminate()
     child.wait()
     return {
         "gateways": gateways,
-        "heartbeats_s": round(heard / took_s, 1),
-        "cpu_ms_s": round(cpu / took_s, 1),
-        "cpu_us_heartbeat": round(1000 * cpu / max(1, heard), 1),
-        "bytes_heartbeat_in": round((now.bytes_in - carried.bytes_in) / max(1, heard), 1),
-        "bytes_heartbeat_out": round((now.bytes_out - carried.bytes_out) / max(1, heard), 1),
+        "heartbeats_s": round(heartbeats / elapsed_s, 1),
+        "cpu_ms_s": round(used_cpu_ms / elapsed_s, 1),
+        "cpu_us_heartbeat": round(1000 * used_cpu_ms / max(1, heartbeats), 1),
+        "bytes_heartbeat_in": round((end_figures.bytes_in - start_figures.bytes_in) / max(1, heartbeats), 1),
+        "bytes_heartbeat_out": round(
+            (end_figures.bytes_out - start_figures.bytes_out) / max(1, heartbeats), 1
+        ),
         "rss_mib": rss_mib(),
         "late_ms_p99": lateness.percentile_ms(0.99),
         "cores": os.cpu_count() or 0,
@@ -87,27 +93,27 @@
 
 
 def connect(port: int, gateways: int, seconds: float) -> None:
-    """The child: so many gateways until it is ended."""
+    """The child process: connects the gateways and runs until it is terminated."""
     replica = ReplicaAddress("replica", f"127.0.0.1:{port}", "r")
     for number in range(gateways):
         identity = GatewayIdentity(f"g{number}", f"g{number}#1", "r")
-        client = ObserverClient(identity, [replica], RULES, NoSink(), Random(number))
+        client = ObserverClient(identity, [replica], RULES, NullSink(), Random(number))
         gevent.spawn_later(Random(number).random(), client.start)
     gevent.sleep(seconds + 60)
 
 
 def main() -> None:
-    """Parse, run, print."""
+    """Parses the arguments, runs one side and prints the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--gateways", type=int, default=200)
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--barrier-ms", type=float, default=50.0)
     parser.add_argument("--connect", type=int, default=0, help=argparse.SUPPRESS)
-    told = parser.parse_args()
-    if told.connect:
-        connect(told.connect, told.gateways, told.seconds)
+    args = parser.parse_args()
+    if args.connect:
+        connect(args.connect, args.gateways, args.seconds)
     else:
-        print(json.dumps(serve(told.gateways, told.seconds, told.barrier_ms)))
+        print(json.dumps(serve(args.gateways, args.seconds, args.barrier_ms)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -1,14 +1,14 @@
-"""What a request and a list of 60 nodes cost one of 40 gateways, this tree against another of the project.
+"""CPU of a request and of a list of 60 nodes on one of 40 gateways, compared with another source tree.
 
     python benchmarks/large_fleet.py --other ../older-tree [--repeats 7] [--nodes 1000,17000]
 
-With --nodes, for each size: taking a whole list from its parsed JSON (`whole`) and again with one node
-changed (`again`), how long the event loop was held by either at most (`hold`), parsing the JSON (`json`, one
-piece in which nothing else runs), and one changed entry (`entry`).
+With --nodes, for each size: applying a whole list from its parsed JSON (`whole`), applying it again with one
+node changed (`again`), the longest block of the event loop by either (`hold`), parsing the JSON (`json`, one
+uninterrupted block of the event loop), and one changed entry (`entry`).
 
-No sockets: the list goes from discovery's JSON through the engine to the module, a request from the engine to
-a transport that answers at once. The trees take turns, each in a process of its own; ratios are of the same
-repeat.
+No sockets are used: the list goes from discovery's JSON through the engine to the module, a request from the
+engine to a transport that answers immediately. The trees alternate, each in its own process; a ratio compares
+measurements of the same repeat.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 from pathlib import Path
 
 NODES, GATEWAYS = 60, 40
-HELD_STEP_S = 0.0005  # the watch of the event loop wakes so often
-ENTRIES = 200  # changed entries told one by one
+SAMPLE_INTERVAL_S = 0.0005  # interval at which the event loop's latency is sampled
+CHANGED_ENTRIES = 200  # changed entries, applied one by one
 
 
-def lists(engine, listing, rounds: int) -> float:  # type: ignore[no-untyped-def]
+def list_cost_us(engine, listing, rounds: int) -> float:  # type: ignore[no-untyped-def]
     """Microseconds of CPU to read a whole list and apply it, two nodes changing each time."""
     from rackseam.interface import ListKind
 
@@ -37,21 +37,21 @@
          "status": "up", "weight": 1.0, "since_ms": 0}
         for i in range(NODES)
     ]  # fmt: skip
-    spent = 0.0
+    cpu_s = 0.0
     for n in range(rounds):
         nodes[n % NODES]["name"] = f"t-{n:08x}"
         nodes[n % NODES]["status"] = "draining" if n < rounds - NODES and n % 5 == 0 else "up"
         body = json.dumps({"index": n, "snapshot": True, "endpoints": nodes}).encode()
-        began = time.process_time()
+        started_s = time.process_time()
         version, entries, addresses = read_whole(listing, json.loads(body))
         engine.listed(ListKind.FULL, version, entries, addresses)
         engine.turn()
-        spent += time.process_time() - began
-    return spent / rounds * 1e6
+        cpu_s += time.process_time() - started_s
+    return cpu_s / rounds * 1e6
 
 
 def read_whole(listing, raw):  # type: ignore[no-untyped-def]
-    """Version, entries and addresses, in this tree and in older ones."""
+    """Version, entries and addresses; supports the interfaces of this tree and of older ones."""
     if hasattr(listing, "_starts"):
         read = listing.read(raw, time.monotonic_ns() // 1000)
         return read.version, read.entries, read.addresses
@@ -59,13 +59,13 @@
     return version, entries, addresses
 
 
-def requests(engine, rounds: int) -> float:  # type: ignore[no-untyped-def]
-    """Microseconds of CPU a request, from its arrival to its answer, over all nodes."""
+def request_cost_us(engine, rounds: int) -> float:  # type: ignore[no-untyped-def]
+    """Microseconds of CPU per request from arrival to answer, with requests spread over all nodes."""
     from rackseam.interface import Outcome
     from stackrouter.core.engine import clock_us
     from stackrouter.core.model import Attempt, Reply, Request
 
-    class AtOnce:
+    class ImmediateTransport:
         def start(self, attempt: Attempt) -> None:
             engine.ended(attempt, Reply(Outcome.DONE, b"x"))
 
@@ -81,8 +81,8 @@
         nonlocal answered
         answered += 1
 
-    engine.transport = AtOnce()
-    began = time.process_time()
+    engine.transport = ImmediateTransport()
+    started_s = time.process_time()
     for n in range(rounds):
         engine.submit(Request(
             request_class=0, plan=0, volume=f"v{n % 20}", units=2.0, shard=n % NODES, gateways=3, key="",
@@ -91,32 +91,32 @@
         ))  # fmt: skip
         engine.turn()
         engine.turn()
-    spent = time.process_time() - began
+    cpu_s = time.process_time() - started_s
     assert answered > rounds * 0.95, answered
-    return spent / rounds * 1e6
+    return cpu_s / rounds * 1e6
 
 
-def endpoint(number: int) -> dict[str, object]:
+def make_endpoint(number: int) -> dict[str, object]:
     address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:6379"
     return {"name": f"s-{number:08x}", "address": address, "zone": "a", "type": "m", "group": number,
             "status": "up", "weight": 1.0, "since_ms": 0}  # fmt: skip
 
 
-class Held:
+class LoopBlockMeter:
     """The longest time for which the event loop could not run a greenlet that was due."""
 
     def __init__(self) -> None:
         import gevent
 
         self.longest_us, self._sleep = 0.0, gevent.sleep
-        self._greenlet = gevent.spawn(self._watch)
+        self._greenlet = gevent.spawn(self._sample)
         gevent.sleep(0.01)
         self.longest_us = 0.0
 
-    def _watch(self) -> None:
+    def _sample(self) -> None:
         while True:
-            due = time.perf_counter() + HELD_STEP_S
-            self._sleep(HELD_STEP_S)
+            due = time.perf_counter() + SAMPLE_INTERVAL_S
+            self._sleep(SAMPLE_INTERVAL_S)
             self.longest_us = max(self.longest_us, (time.perf_counter() - due) * 1e6)
 
     def stop(self) -> float:
@@ -125,7 +125,7 @@
         return self.longest_us
 
 
-def large(engine, listing, count: int) -> dict[str, float]:  # type: ignore[no-untyped-def]
+def large_list_costs(engine, listing, count: int) -> dict[str, float]:  # type: ignore[no-untyped-def]
     """Microseconds for lists of this many nodes, from discovery's JSON to the module."""
     import gevent
 
@@ -133,43 +133,43 @@
 
     discovery = Discovery(("", 0), listing, engine.counters, engine.listed, known=0)
     runner = gevent.spawn(engine.run)
-    nodes = [endpoint(i) for i in range(count)]
+    nodes = [make_endpoint(i) for i in range(count)]
 
     def timed(call) -> float:  # type: ignore[no-untyped-def]
-        began = time.process_time()
+        started_s = time.process_time()
         call()
         while not engine.idle():
             gevent.sleep(0)
         gevent.sleep(0)
-        return (time.process_time() - began) * 1e6
+        return (time.process_time() - started_s) * 1e6
 
     def snapshot(version: int) -> dict[str, object]:
         return {"index": version, "snapshot": True, "endpoints": nodes}
 
     body = json.dumps(snapshot(1)).encode()
-    began = time.process_time()
+    started_s = time.process_time()
     raw = json.loads(body)
-    found = {"json": (time.process_time() - began) * 1e6}
-    held = Held()
-    found["whole"] = timed(lambda: discovery.follow(raw))
-    held_at_first = held.stop()
+    results = {"json": (time.process_time() - started_s) * 1e6}
+    meter = LoopBlockMeter()
+    results["whole"] = timed(lambda: discovery.follow(raw))
+    first_block_us = meter.stop()
     nodes[count // 2]["status"] = "draining"
     raw = json.loads(json.dumps(snapshot(2)))
-    held = Held()
-    found["again"] = timed(lambda: discovery.follow(raw))
-    found["hold"] = max(held_at_first, held.stop())
+    meter = LoopBlockMeter()
+    results["again"] = timed(lambda: discovery.follow(raw))
+    results["hold"] = max(first_block_us, meter.stop())
     assert len(engine.nodes) == count, len(engine.nodes)
 
     def changes() -> None:
-        for n in range(ENTRIES):
+        for n in range(CHANGED_ENTRIES):
             status = "draining" if n % 2 else "up"
-            change = {**endpoint(n // 2 % count), "status": status}
+            change = {**make_endpoint(n // 2 % count), "status": status}
             discovery.follow({"index": 3 + n, "snapshot": False, "endpoints": [change]})
             gevent.sleep(0)
 
-    found["entry"] = timed(changes) / ENTRIES
+    results["entry"] = timed(changes) / CHANGED_ENTRIES
     runner.kill()
-    return {f"{what} {count}": value for what, value in found.items()}
+    return {f"{quantity} {count}": value for quantity, value in results.items()}
 
 
 def measure(sizes: list[int]) -> dict[str, float]:
@@ -182,16 +182,16 @@
     except ImportError:  # an older tree
         from stackrouter.net.discovery import Listing
 
-    gc.set_threshold(10_000)  # as the gateway has it
+    gc.set_threshold(10_000)  # the gateway's value
     settings = Settings(
         classes=(RequestClass(aim_us=400_000, deadline_us=2_000_000),), plans=(Plan(),), gateways=GATEWAYS,
         cold_share=0.17, cold_us=16_000_000, cold_bears_units=14.0, fall_us=3_000_000, tip_multiple=3.0,
     )  # fmt: skip
     engine, listing = Engine(settings, 1000, Counters()), Listing(["a"], ["m"], clock_us())
-    found = {"list": lists(engine, listing, 300), "request": requests(engine, 5000)}
+    results = {"list": list_cost_us(engine, listing, 300), "request": request_cost_us(engine, 5000)}
     for count in sizes:
-        found |= large(Engine(settings, 1000, Counters()), listing, count)
-    return found
+        results |= large_list_costs(Engine(settings, 1000, Counters()), listing, count)
+    return results
 
 
 def main() -> None:
@@ -199,7 +199,7 @@
     parser.add_argument("--other", type=Path)
     parser.add_argument("--repeats", type=int, default=7)
     parser.add_argument("--one", action="store_true", help="measure the tree in PYTHONPATH and print JSON")
-    parser.add_argument("--nodes", default="", help="sizes of lists, with commas between them")
+    parser.add_argument("--nodes", default="", help="comma-separated list sizes")
     args = parser.parse_args()
     if args.one:
         print(json.dumps(measure([int(count) for count in args.nodes.split(",") if count])))
@@ -208,16 +208,16 @@
     rows: dict[str, list[dict[str, float]]] = {name: [] for name in trees}
     for _ in range(args.repeats):
         for name, tree in trees.items():
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, __file__, "--one", "--nodes", args.nodes], cwd=tree, check=True,
                 capture_output=True, env={**os.environ, "PYTHONPATH": str(tree.resolve())},
             )  # fmt: skip
-            rows[name].append(json.loads(done.stdout))
-    for what in rows["this"][0]:
-        ratios = [a[what] / b[what] for a, b in zip(rows["this"], rows["other"], strict=True)]
-        this, other = (statistics.median(r[what] for r in rows[name]) for name in trees)
+            rows[name].append(json.loads(completed.stdout))
+    for quantity in rows["this"][0]:
+        ratios = [a[quantity] / b[quantity] for a, b in zip(rows["this"], rows["other"], strict=True)]
+        this_us, other_us = (statistics.median(r[quantity] for r in rows[name]) for name in trees)
         print(
-            f"{what:12} {this:9.1f} us, other {other:9.1f} us; "
+            f"{quantity:12} {this_us:9.1f} us, other {other_us:9.1f} us; "
             f"ratio {statistics.median(ratios):.2f} ({min(ratios):.2f} to {max(ratios):.2f})"
         )
 
--- a/benchmarks/plumbing.py
+++ b/benchmarks/plumbing.py
@@ -1,9 +1,10 @@
-"""Hand-made plumbing against the registry's libraries: what each costs at import, in memory and a call.
+"""Own parsers and counters compared with PyPI libraries: cost of the import, memory and time of a call.
 
     pip install -e '.[dev,plumbing]' && python benchmarks/plumbing.py [--repeats 5]
 
-Imports are measured in fresh processes over json, logging and gevent; calls in this one, the two
-ways in turn, so that what else the machine does falls on both. Times are CPU microseconds a call, medians.
+Imports are measured in new processes, in addition to json, logging and gevent; calls are measured in this
+process, alternating between the two implementations, so that other load on the machine affects both. Times
+are medians of CPU microseconds per call.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from stackrouter.membership.listing import Listing
 from stackrouter.net.ring import Ring
 
-IMPORTS = (
+IMPORTED_MODULES = (
     "stackrouter.errors",
     "httptools",
     "msgspec",
@@ -31,18 +32,19 @@
     "pydantic",
     "urllib3",
 )
-IMPORT = """import time, json, logging, gevent
+IMPORT_CODE = """import time, json, logging, gevent
 def kib(): return int(next(l for l in open('/proc/self/status') if l.startswith('VmRSS')).split()[1])
 before, began = kib(), time.process_time()
 import {name}
 print(kib() - before, round(1000 * (time.process_time() - began), 1))
 """
-FIELDS = b"c=read,t=gold,d=480,volume=00000003b4d60021,units=2,shard=5,hosts=3"
-COMMAND = resp.command(b"BLK.READ", b"7f3a9c21e0b4d655", b"9b1f03aa5c7e2d41", FIELDS)
+REQUEST_FIELDS = b"c=read,t=gold,d=480,volume=00000003b4d60021,units=2,shard=5,hosts=3"
+COMMAND = resp.command(b"BLK.READ", b"7f3a9c21e0b4d655", b"9b1f03aa5c7e2d41", REQUEST_FIELDS)
 ANSWER = b"*3\r\n" + resp.bulk(b"x" * 512) + resp.bulk(b"used=37,cost=4") + resp.bulk(b"inflight=7")
 
 
-def nodes(count: int) -> bytes:
+def node_list_json(count: int) -> bytes:
+    """Discovery's answer with a list of `count` nodes, as JSON."""
     entries = [
         {"name": f"s-{i:08x}", "address": f"10.1.{i // 250}.{i % 250}:6379", "zone": "a", "type": "m2",
          "group": i, "status": "up", "weight": 1.0, "since_ms": 0} for i in range(count)
@@ -73,7 +75,7 @@
 
 
 def own_list() -> Callable[[], Any]:
-    listing, data = Listing(["a"], ["m2"], 0), nodes(200)
+    listing, data = Listing(["a"], ["m2"], 0), node_list_json(200)
     return lambda: listing.read(json.loads(data), 0)
 
 
@@ -84,10 +86,10 @@
               ("weight", float, 1.0), ("since_ms", int, 0)]  # fmt: skip
     node = msgspec.defstruct("node", fields)
     whole = msgspec.defstruct("whole", [("index", int), ("endpoints", list[node]), ("snapshot", bool, False)])
-    listing, data, decoder = Listing(["a"], ["m2"], 0), nodes(200), msgspec.json.Decoder(whole)
+    listing, data, decoder = Listing(["a"], ["m2"], 0), node_list_json(200), msgspec.json.Decoder(whole)
 
     def call() -> Any:
-        # Checked as it is decoded, then in the words that Listing takes.
+        # Validated while decoding, then converted to the plain types that Listing accepts.
         return listing.read(msgspec.to_builtins(decoder.decode(data)), 0)
 
     return call
@@ -114,23 +116,24 @@
 
 
 def cost_us(call: Callable[[], Any]) -> float:
+    """CPU microseconds of one call, averaged over about 0.1 s."""
     call()
-    count, began = 0, time.process_time()
-    while (used := time.process_time() - began) < 0.1:
+    count, started_s = 0, time.process_time()
+    while (used_s := time.process_time() - started_s) < 0.1:
         for _ in range(20):
             call()
         count += 20
-    return used / count * 1e6
+    return used_s / count * 1e6
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--repeats", type=int, default=5)
     repeats = parser.parse_args().repeats
-    for name in IMPORTS:
+    for name in IMPORTED_MODULES:
         rows = []
         for _ in range(repeats):
-            command = [sys.executable, "-c", IMPORT.format(name=name)]
+            command = [sys.executable, "-c", IMPORT_CODE.format(name=name)]
             rows.append(
                 [float(n) for n in subprocess.run(command, capture_output=True, check=True).stdout.split()]
             )
--- a/benchmarks/scale_sweep.py
+++ b/benchmarks/scale_sweep.py
@@ -1,13 +1,13 @@
-"""Scale runs of several sizes, and of several seeds, into one JSON file.
+"""Runs `fleet scale` for several sizes or seeds and stores the results in one JSON file.
 
-python benchmarks/scale_sweep.py --sizes 100,300,1000,3000,7800 [--file docs/capacity/scale.json] python
-benchmarks/scale_sweep.py --seeds 1-20 --hollow 300 [--parallel 2]
+    python benchmarks/scale_sweep.py --sizes 100,300,1000,3000,7800 [--file docs/capacity/scale.json]
+    python benchmarks/scale_sweep.py --seeds 1-20 --hollow 300 [--parallel 2]
 
 Each run is one object of the file's array: the last line of `stackrouter fleet scale --json`, with
 `purpose` (size or seed), `command`, the machine's cores, the Python version and the commit. A run that did
-not end has `failed` and what was said. A size beyond those that are fitted has `predicted`: what the
-smaller sizes in the file predict, written before that size is run, and afterwards `compared`, with the
-prediction's errors.
+not finish has `failed` with the last line of its error output. A size above the fitted ones has `predicted`:
+the prediction from the smaller sizes in the file, written before that size is run, and afterwards `compared`,
+with the errors of the prediction.
 """
 
 from __future__ import annotations
@@ -27,36 +27,38 @@
 from stackrouter.fleet.scale.prediction import LARGEST_FITTED, compare, predict_all
 
 ROOT = Path(__file__).parent.parent
-LIMIT_S = 330.0  # of one run
-SIZE = "size"  # purpose of the runs that others are predicted from
+RUN_TIMEOUT_S = 330.0  # for one run
+SIZE_PURPOSE = "size"  # purpose of the runs that predictions are based on
 Entry = dict[str, Any]
 
 
 class ScaleFile:
-    """The array on disk; written anew, by a rename, after each run."""
+    """The array on disk; replaced atomically by a rename after each run."""
 
     def __init__(self, path: Path) -> None:
         self._path, self._lock = path, threading.Lock()
         self.entries: list[Entry] = json.loads(path.read_text(encoding="utf-8")) if path.exists() else []
 
     def put(self, entry: Entry) -> None:
-        """Add it, or write it again."""
+        """Adds the entry unless it is in the array, and writes the file."""
         with self._lock:
             if not any(entry is known for known in self.entries):
                 self.entries.append(entry)
             self._path.parent.mkdir(parents=True, exist_ok=True)
-            part = self._path.with_suffix(".part")
+            part_path = self._path.with_suffix(".part")
             lines = ",\n".join(json.dumps(known, separators=(",", ":")) for known in self.entries)
-            part.write_text(f"[\n{lines}\n]\n", encoding="utf-8")
-            part.rename(self._path)
+            part_path.write_text(f"[\n{lines}\n]\n", encoding="utf-8")
+            part_path.rename(self._path)
 
     def sizes(self) -> list[Entry]:
-        """Runs of one size each that ended, without faults."""
-        return [e for e in self.entries if e["purpose"] == SIZE and "hollow" in e and not e.get("faults")]
+        """Runs of one size each that finished, without faults."""
+        return [
+            e for e in self.entries if e["purpose"] == SIZE_PURPOSE and "hollow" in e and not e.get("faults")
+        ]
 
 
 def machine() -> Entry:
-    """What the figures depend on beside the program."""
+    """Environment that the figures depend on."""
     commit = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, capture_output=True, text=True, check=False
     )
@@ -68,27 +70,29 @@
 
 
 def run(purpose: str, options: list[str]) -> Entry:
-    """One scale run in a process of its own."""
+    """One scale run in its own process."""
     command = ["fleet", "scale", *options, "--json"]
     entry: Entry = {"purpose": purpose, "command": " ".join(["stackrouter", *command]), **machine()}
     process = subprocess.Popen([sys.executable, "-m", "stackrouter.cli.main", *command],
                                stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)  # fmt: skip
     try:
-        told, said = process.communicate(timeout=LIMIT_S)
+        stdout, stderr = process.communicate(timeout=RUN_TIMEOUT_S)
     except subprocess.TimeoutExpired:
-        process.terminate()  # it ends what it has started
+        process.terminate()  # on SIGTERM it terminates its own children
         process.communicate()
-        return entry | {"failed": f"did not end within {LIMIT_S:g} s"}
-    if not told.strip():
-        return entry | {"failed": said.strip().splitlines()[-1] if said.strip() else "said nothing"}
-    return entry | json.loads(told.splitlines()[-1])
+        return entry | {"failed": f"did not end within {RUN_TIMEOUT_S:g} s"}
+    if not stdout.strip():
+        return entry | {"failed": stderr.strip().splitlines()[-1] if stderr.strip() else "no output"}
+    return entry | json.loads(stdout.splitlines()[-1])
 
 
-def sweep(file: ScaleFile, sizes: list[int], purpose: str, common: list[str]) -> bool:
-    """Each size once; whether all hold."""
-    holds = True
+def run_sizes(file: ScaleFile, sizes: list[int], purpose: str, common: list[str]) -> bool:
+    """Runs each size once; returns whether all checks passed."""
+    all_passed = True
     for size in sizes:
-        predictions = predict_all(size, file.sizes()) if purpose == SIZE and size > LARGEST_FITTED else []
+        predictions = (
+            predict_all(size, file.sizes()) if purpose == SIZE_PURPOSE and size > LARGEST_FITTED else []
+        )
         if predictions:
             predicted = {p.quantity: asdict(p) for p in predictions}
             file.put({"purpose": "prediction", "at": size, **machine(), "predicted": predicted})
@@ -96,27 +100,27 @@
         if "hollow" in entry and predictions:
             entry["compared"] = {p.quantity: asdict(compare(p, entry[p.quantity])) for p in predictions}
         file.put(entry)
-        show(entry)
-        holds = holds and bool(entry.get("ok"))
-    return holds
+        print_progress(entry)
+        all_passed = all_passed and bool(entry.get("ok"))
+    return all_passed
 
 
-def seeds(file: ScaleFile, numbers: list[int], hollow: int, parallel: int, common: list[str]) -> bool:
-    """Each seed once with faults; whether all hold."""
+def run_seeds(file: ScaleFile, numbers: list[int], hollow: int, parallel: int, common: list[str]) -> bool:
+    """Runs each seed once with faults; returns whether all checks passed."""
 
-    def one(seed: int) -> bool:
+    def run_seed(seed: int) -> bool:
         entry = run("seed", ["--hollow", str(hollow), "--seed", str(seed), "--faults", "all", *common])
         entry["parallel"] = parallel
         file.put(entry)
-        show(entry)
+        print_progress(entry)
         return bool(entry.get("ok"))
 
     with ThreadPoolExecutor(parallel) as threads:
-        return all(list(threads.map(one, numbers)))
+        return all(list(threads.map(run_seed, numbers)))
 
 
-def show(entry: Entry) -> None:
-    """A line for whoever waits."""
+def print_progress(entry: Entry) -> None:
+    """Prints a progress line."""
     names = ("hollow", "seed", "changes", "in_force_ms_p99", "in_force_ms_max", "left_behind",
              "uncommitted_served", "control_cpu_ms_s", "log_entries_s", "late_ms_p99", "faults", "broken",
              "failed")  # fmt: skip
@@ -124,12 +128,12 @@
 
 
 def main() -> int:
-    """Exit code 0: all runs hold."""
+    """Exit code 0: all checks of all runs passed."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--sizes", help="hollow gateways, by commas")
-    parser.add_argument("--seeds", help="FROM-TO, with faults")
-    parser.add_argument("--hollow", type=int, default=300, help="hollow gateways of each seed's run")
-    parser.add_argument("--parallel", type=int, default=1, help="seeds at a time")
+    parser.add_argument("--sizes", help="comma-separated numbers of hollow gateways")
+    parser.add_argument("--seeds", help="range FROM-TO of seeds, run with faults")
+    parser.add_argument("--hollow", type=int, default=300, help="hollow gateways in the run of each seed")
+    parser.add_argument("--parallel", type=int, default=1, help="concurrent seeds")
     parser.add_argument("--file", type=Path, default=ROOT / "docs/capacity/scale.json")
     parser.add_argument("--real", type=int, default=5)
     parser.add_argument("--control", type=int, default=8)
@@ -137,20 +141,20 @@
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--nodes", type=int, default=1000)
     parser.add_argument(
-        "--purpose", default=SIZE, help="of the runs of --sizes; predictions are made of `size`"
+        "--purpose", default=SIZE_PURPOSE, help="purpose of the --sizes runs; only `size` runs are predicted"
     )
-    asked = parser.parse_args()
-    common = ["--real", str(asked.real), "--control", str(asked.control), "--regions", str(asked.regions),
-              "--seconds", str(asked.seconds), "--nodes", str(asked.nodes)]  # fmt: skip
-    file = ScaleFile(asked.file)
-    holds = True
-    if asked.sizes:
-        holds = sweep(file, [int(size) for size in asked.sizes.split(",")], asked.purpose, common)
-    if asked.seeds:
-        first, _, last = asked.seeds.partition("-")
+    args = parser.parse_args()
+    common = ["--real", str(args.real), "--control", str(args.control), "--regions", str(args.regions),
+              "--seconds", str(args.seconds), "--nodes", str(args.nodes)]  # fmt: skip
+    file = ScaleFile(args.file)
+    all_passed = True
+    if args.sizes:
+        all_passed = run_sizes(file, [int(size) for size in args.sizes.split(",")], args.purpose, common)
+    if args.seeds:
+        first, _, last = args.seeds.partition("-")
         numbers = list(range(int(first), int(last or first) + 1))
-        holds = seeds(file, numbers, asked.hollow, asked.parallel, common) and holds
-    return 0 if holds else 1
+        all_passed = run_seeds(file, numbers, args.hollow, args.parallel, common) and all_passed
+    return 0 if all_passed else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/soak_sweep.py
+++ b/benchmarks/soak_sweep.py
@@ -1,8 +1,8 @@
-"""Many seeds of `stackrouter fleet soak`, a few at a time, one line of JSON each.
+"""Runs `stackrouter fleet soak` for many seeds, a few at a time; writes one line of JSON for each.
 
     python benchmarks/soak_sweep.py --first 1 --runs 50 --parallel 3 --out sweep.jsonl [-- OPTIONS]
 
-Exit code 1 if a seed failed. Each soak is a process tree of its own, of some 25 processes.
+Exit code 1 if a seed failed. Each soak runs in its own process tree of about 25 processes.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from pathlib import Path
 
 
-def play(seed: int, logs: Path | None, options: list[str]) -> dict[str, object]:
-    """One soak; its last line."""
+def run_soak(seed: int, logs: Path | None, options: list[str]) -> dict[str, object]:
+    """Runs one soak and returns the JSON of its last line."""
     command = [sys.executable, "-m", "stackrouter.cli.main", "fleet", "soak", "--seed", str(seed), "--json"]
     if logs is not None:
         command += ["--logs", str(logs / str(seed))]
-    done = subprocess.run([*command, *options], capture_output=True, text=True, check=False)
-    lines = done.stdout.strip().splitlines()
-    result = json.loads(lines[-1]) if lines else {"seed": seed, "crashes": [done.stderr[-400:]]}
-    return {**result, "exit": done.returncode}
+    completed = subprocess.run([*command, *options], capture_output=True, text=True, check=False)
+    lines = completed.stdout.strip().splitlines()
+    result = json.loads(lines[-1]) if lines else {"seed": seed, "crashes": [completed.stderr[-400:]]}
+    return {**result, "exit": completed.returncode}
 
 
 def main() -> int:
@@ -32,13 +32,13 @@
     parser.add_argument("--runs", type=int, default=50)
     parser.add_argument("--parallel", type=int, default=2)
     parser.add_argument("--out", type=Path, required=True)
-    parser.add_argument("--logs", type=Path, help="a folder in it for each seed")
+    parser.add_argument("--logs", type=Path, help="folder with a subfolder of logs for each seed")
     parser.add_argument("options", nargs="*")
     args = parser.parse_args()
     seeds = range(args.first, args.first + args.runs)
     failed = 0
     with ThreadPoolExecutor(args.parallel) as pool, args.out.open("a", encoding="utf-8") as file:
-        for result in pool.map(lambda seed: play(seed, args.logs, args.options), seeds):
+        for result in pool.map(lambda seed: run_soak(seed, args.logs, args.options), seeds):
             failed += bool(result["exit"])
             file.write(json.dumps(result) + "\n")
             file.flush()
--- a/benchmarks/upgrade_sweep.py
+++ b/benchmarks/upgrade_sweep.py
@@ -1,8 +1,9 @@
-"""Upgrades of one gateway with trouble of every kind, seeds by the dozen: whether each volume's limit held.
+"""Upgrades of one gateway under all kinds of faults, for many seeds: checks that no volume exceeds its limit.
 
     python -m benchmarks.upgrade_sweep --runs 10 --parallel 3 [--case NAME] [--out FILE]
 
-A line of JSON a run. Exit 1 where a limit was passed, a process crashed or an answer was missing.
+Prints one line of JSON for each run. Exit code 1 if a limit was exceeded, a process crashed or an answer was
+missing.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 from tests.upgrade_rig import SLACK_UNITS
 
 
-def play(run: tuple[str, int]) -> dict[str, Any]:
+def run_case(run: tuple[str, int]) -> dict[str, Any]:
     name, seed = run
-    played = CASES[name](seed)
-    held = played.lowest_level >= -SLACK_UNITS and not played.crashes and not played.violations
-    told = asdict(played) | {"answers": sorted(answer.decode() for answer in played.answers)}
-    return {"case": name, "seed": seed, "held": held} | told
+    outcome = CASES[name](seed)
+    held = outcome.lowest_level >= -SLACK_UNITS and not outcome.crashes and not outcome.violations
+    result = asdict(outcome) | {"answers": sorted(answer.decode() for answer in outcome.answers)}
+    return {"case": name, "seed": seed, "held": held} | result
 
 
 def main() -> int:
@@ -37,9 +38,9 @@
     runs = [(name, seed) for name in chosen.case or CASES for seed in range(1, chosen.runs + 1)]
     held = 0
     with ProcessPoolExecutor(chosen.parallel) as pool:
-        for told in pool.map(play, runs):
-            held += told["held"]
-            line = json.dumps(told)
+        for result in pool.map(run_case, runs):
+            held += result["held"]
+            line = json.dumps(result)
             print(line, flush=True)
             if chosen.out:
                 with chosen.out.open("a", encoding="utf-8") as file:
