--- a/benchmarks/control_heartbeats.py
+++ b/benchmarks/control_heartbeats.py
@@ -21,8 +21,8 @@
 import gevent
 
 from stackrouter.controlplane.client import ObserverClient
-from stackrouter.controlplane.figures import Lateness, cpu_ms, rss_mib
 from stackrouter.controlplane.observer import GatewayIdentity, TakeNodes
+from stackrouter.controlplane.process_metrics import Lateness, cpu_ms, rss_mib
 from stackrouter.controlplane.replica import ReplicaLimits, ReplicaStateMachine
 from stackrouter.controlplane.routing import ReplicaAddress
 from stackrouter.controlplane.server import ControlServer
--- a/stackrouter/__main__.py
+++ b/stackrouter/__main__.py
@@ -47,7 +47,7 @@
 if TYPE_CHECKING:
     from stackrouter.edge.wiring import Extras
     from stackrouter.sharing.buckets import SharedBuckets
-    from stackrouter.sharing.room import ProcessRooms
+    from stackrouter.sharing.socket_limits import ProcessRooms
 
 STOP_DELAY_S = 0.5  # clients still connect for a while after SIGTERM; listeners must be closed before 0.7 s
 FINISH_STEP_S = 0.02
@@ -279,7 +279,7 @@
     from stackrouter.sharing.buckets import SharedBuckets
     from stackrouter.sharing.log_file import SharedFile
     from stackrouter.sharing.presence import SocketPresence
-    from stackrouter.sharing.room import ProcessRooms
+    from stackrouter.sharing.socket_limits import ProcessRooms
 
     folder = os.environ.get("TMPDIR") or DEFAULT_TMP_DIR
     log_file = SharedFile(folder, config.name, config.listen_fd)
--- a/stackrouter/controlplane/process.py
+++ b/stackrouter/controlplane/process.py
@@ -25,8 +25,8 @@
 from stackrouter import log
 from stackrouter.config import address_of, check_policy, with_policy
 from stackrouter.controlplane.client import ObserverClient
-from stackrouter.controlplane.figures import Lateness, cpu_ms, rss_mib
 from stackrouter.controlplane.observer import GatewayIdentity
+from stackrouter.controlplane.process_metrics import Lateness, cpu_ms, rss_mib
 from stackrouter.controlplane.replica import ReplicaLimits, ReplicaStateMachine
 from stackrouter.controlplane.routing import ReplicaAddress
 from stackrouter.controlplane.server import ControlServer
--- a/stackrouter/controlplane/server.py
+++ b/stackrouter/controlplane/server.py
@@ -30,7 +30,7 @@
 from stackrouter.coord.port import ServingReport
 from stackrouter.core.counters import Counters
 from stackrouter.errors import FrameError, defect, tell
-from stackrouter.net.door import listen_at
+from stackrouter.net.listen_socket import listen_at
 
 log = logging.getLogger(__name__)
 
--- a/stackrouter/fleet/scale/changes.py
+++ b/stackrouter/fleet/scale/changes.py
@@ -12,7 +12,7 @@
 from gevent.lock import Semaphore
 
 from stackrouter.coord.calls import canonical
-from stackrouter.fleet.scale import doors
+from stackrouter.fleet.scale import admin_client
 from stackrouter.fleet.scale.harness import Harness
 from stackrouter.fleet.scale.judge import DIGEST_PREFIX_CHARS
 from stackrouter.fleet.scale.observation import COMMITTED_POLL_S, Observation
@@ -65,14 +65,14 @@
 
     def poll_committed(self) -> None:
         """Ask the next voter which versions are committed."""
-        self._record_versions(doors.policy_versions(self._next_admin_port()) or [])
+        self._record_versions(admin_client.policy_versions(self._next_admin_port()) or [])
 
     def _propose(self, file: Path) -> str:
         """Propose the file on top of the newest known version. Returns the replica's answer if the proposal
         is not known to have succeeded, otherwise an empty string."""
-        proposed = doors.propose(self._next_admin_port(), self.newest_version, str(file))
+        proposed = admin_client.propose(self._next_admin_port(), self.newest_version, str(file))
         if proposed.number:
-            self._record_versions([doors.KnownVersion(proposed.number, proposed.digest)])
+            self._record_versions([admin_client.KnownVersion(proposed.number, proposed.digest)])
         else:
             self.poll_committed()
         return proposed.why
@@ -80,7 +80,7 @@
     def _next_admin_port(self) -> int:
         return self._harness.replica_ports[next(self._voters)].admin
 
-    def _record_versions(self, versions: list[doors.KnownVersion]) -> None:
+    def _record_versions(self, versions: list[admin_client.KnownVersion]) -> None:
         self._observation.record_committed(versions)
         for version in versions:
             self.newest_version = max(self.newest_version, version.number)
--- a/stackrouter/fleet/scale/harness.py
+++ b/stackrouter/fleet/scale/harness.py
@@ -12,7 +12,7 @@
 
 from stackrouter.errors import StartError
 from stackrouter.fleet.ports import Ports
-from stackrouter.fleet.scale import doors
+from stackrouter.fleet.scale import admin_client
 from stackrouter.fleet.scale.files import (
     Reach,
     ReplicaPorts,
@@ -62,7 +62,7 @@
         self.reals = {real.name: self._make_real(real, i) for i, real in enumerate(layout.reals)}
         self.baseline = self._make_gateway(BASELINE, len(layout.reals), {})
         self.hollows = {place.name: self._make_hollow(place, i) for i, place in enumerate(layout.processes)}
-        self.killed_statuses: list[doors.ReplicaStatus] = []  # last status of each killed process
+        self.killed_statuses: list[admin_client.ReplicaStatus] = []  # last status of each killed process
         self._policy_count = 0
 
     def __enter__(self) -> Harness:
@@ -102,9 +102,9 @@
         what = f"not all gateways were ready within {within_s:g} s"
         wait_until(ready, within_s, self.children, lambda: f"{what}: {ready_summary()}")
 
-    def status(self, replica: str) -> doors.ReplicaStatus | None:
+    def status(self, replica: str) -> admin_client.ReplicaStatus | None:
         """The status of a replica, or None if it does not answer."""
-        return doors.replica_status(self.replica_ports[replica].admin)
+        return admin_client.replica_status(self.replica_ports[replica].admin)
 
     def kill_replica(self, replica: str) -> None:
         """Send SIGKILL. The counters restart at zero in the next process, so their last values are kept in
--- a/stackrouter/fleet/scale/observation.py
+++ b/stackrouter/fleet/scale/observation.py
@@ -10,7 +10,7 @@
 
 import gevent
 
-from stackrouter.fleet.scale import doors
+from stackrouter.fleet.scale import admin_client
 from stackrouter.fleet.scale.judge import Change, ChangeKind, FinalState, History, Outage, Served, Taken
 from stackrouter.fleet.scale.measure import LATENESS_STEP_S, Lateness
 from stackrouter.fleet.scale.reports import HollowEnd, HollowState, Report
@@ -34,7 +34,7 @@
         seconds apart on a busy machine. Therefore an interval starts when the first answer arrives and ends
         when the last request is sent."""
         asked_at = time.monotonic_ns()
-        status = doors.gateway_status(self._admin)
+        status = admin_client.gateway_status(self._admin)
         answered_at = time.monotonic_ns()
         if status is None:
             self._close_interval()
@@ -97,7 +97,7 @@
         """Record a change submitted at `at` that is known to be committed (policy) or published (list)."""
         self.history.changes.append(Change(kind, number, digest, at))
 
-    def record_committed(self, versions: list[doors.KnownVersion]) -> None:
+    def record_committed(self, versions: list[admin_client.KnownVersion]) -> None:
         """Record the versions that a replica reports as committed."""
         for version in versions:
             self.history.committed.setdefault(version.number, version.digest)
--- a/stackrouter/fleet/scale/run.py
+++ b/stackrouter/fleet/scale/run.py
@@ -8,7 +8,7 @@
 
 import gevent
 
-from stackrouter.fleet.scale import doors
+from stackrouter.fleet.scale import admin_client
 from stackrouter.fleet.scale.changes import Changes
 from stackrouter.fleet.scale.faults import Faults
 from stackrouter.fleet.scale.figures import Meters, Reading, ScaleFigures, figures
@@ -145,7 +145,9 @@
         """Record the state of the replicas, stop the hollow gateways and collect all final states."""
         history = self._observation.history
         for name in harness.replicas:
-            self._observation.record_committed(doors.policy_versions(harness.replica_ports[name].admin) or [])
+            self._observation.record_committed(
+                admin_client.policy_versions(harness.replica_ports[name].admin) or []
+            )
         history.active = max((status.active for status in _statuses(harness)), default=0)
         history.nodes_index = harness.discovery.index
         for real in self._observation.reals:
@@ -167,7 +169,7 @@
     return f"committed {history.committed.get(version)}, submitted at {submitted_at}, active {history.active}"
 
 
-def _statuses(harness: Harness) -> list[doors.ReplicaStatus]:
+def _statuses(harness: Harness) -> list[admin_client.ReplicaStatus]:
     """The status of each replica that answers."""
     found = [harness.status(name) for name in harness.replicas]
     return [status for status in found if status is not None]
--- a/stackrouter/net/admin.py
+++ b/stackrouter/net/admin.py
@@ -2,7 +2,7 @@
 
 The operators' page requires every answer within 1 s whatever the load; some callers send nothing, or half a
 call, and stay for 4 s. Each connection has a greenlet of its own and a bounded wait, so that a silent caller
-delays no other; when `MAX_CALLERS` have not sent their line yet, `ops.door` chooses which one is cut off.
+delays no other; when `MAX_CALLERS` have not sent their line yet, `ops.admin_queue` chooses which one is cut off.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from gevent import socket
 
 from stackrouter.errors import DoorAcceptError, DoorCallError, tell
-from stackrouter.net.door import listen_at
-from stackrouter.ops.door import Crowd
+from stackrouter.net.listen_socket import listen_at
+from stackrouter.ops.admin_queue import Crowd
 
 if TYPE_CHECKING:
     Caller = gevent.Greenlet[..., None]
--- a/stackrouter/net/discovery.py
+++ b/stackrouter/net/discovery.py
@@ -1,4 +1,4 @@
-"""Watches the list of storage nodes over HTTP; membership.asking decides when to call and for what.
+"""Watches the list of storage nodes over HTTP; membership.call_scheduler decides when to call and for what.
 
 Each call runs in a greenlet of its own. A call that has timed out is kept open beside the next ones for a
 while: discovery may be slow, and its answer counts if no other has arrived since.
@@ -29,10 +29,10 @@
     defect,
     tell,
 )
-from stackrouter.membership.asking import AnswerVerdict, Call, CallScheduler, CallTiming
+from stackrouter.membership.call_scheduler import AnswerVerdict, Call, CallScheduler, CallTiming
 from stackrouter.membership.listing import Listing, NodeList
+from stackrouter.net.list_applier import ListHandler, ListTaker, yield_to_event_loop
 from stackrouter.net.list_call import Address, ListConnection, monotonic_us, remaining_s
-from stackrouter.net.list_taker import ListHandler, ListTaker, yield_to_event_loop
 
 log = logging.getLogger(__name__)
 
--- a/stackrouter/net/listener.py
+++ b/stackrouter/net/listener.py
@@ -22,7 +22,7 @@
 from stackrouter.core.model import Inbox
 from stackrouter.errors import defect
 from stackrouter.net.client_socket import ClientSocket
-from stackrouter.net.door import listen_at
+from stackrouter.net.listen_socket import listen_at
 from stackrouter.net.ring import Ring
 from stackrouter.net.socket_errors import AcceptError, accept_error
 from stackrouter.ops.drain import Drain
--- a/stackrouter/sharing/buckets.py
+++ b/stackrouter/sharing/buckets.py
@@ -22,7 +22,6 @@
 from rackseam.interface import Event, LimitsChanged, Settings, SharersChanged
 from stackrouter.core.counters import Counters
 from stackrouter.errors import LimitLogError, ProcessesUncountedError, tell
-from stackrouter.sharing.account import ReplayedBuckets
 from stackrouter.sharing.log_file import LogFile
 from stackrouter.sharing.mode import (
     CHARGE_MAX_AGE_US,
@@ -34,6 +33,7 @@
 )
 from stackrouter.sharing.presence import Presence
 from stackrouter.sharing.records import Record, RecordKind, RecordReader
+from stackrouter.sharing.replay import ReplayedBuckets
 
 log = logging.getLogger(__name__)
 
--- a/stackrouter/sharing/presence.py
+++ b/stackrouter/sharing/presence.py
@@ -71,7 +71,7 @@
         return ProcessView(self._slot, others, same_log)
 
     def publish(self, kind: int, count: int) -> None:
-        """See `room.SocketCounts`; the count is the length of a lock."""
+        """See `socket_limits.SocketCounts`; the count is the length of a lock."""
         offset = self._count_offset(kind, self._slot)
         count = min(count, _MAX_COUNT - 1)
         if count:
--- a/stackrouter/soak/gateway_process.py
+++ b/stackrouter/soak/gateway_process.py
@@ -98,7 +98,7 @@
     """Disables the enforcement of a rule."""
     from stackrouter.core.gate import Gate
     from stackrouter.net.discovery import Discovery
-    from stackrouter.net.list_taker import ListTaker
+    from stackrouter.net.list_applier import ListTaker
 
     if rule == "drain":
         Discovery.start_with = Discovery._take_first  # type: ignore[method-assign]
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from stackrouter.membership.asking import (
+from stackrouter.membership.call_scheduler import (
     IMMEDIATE_ANSWER_PAUSE_US,
     IMMEDIATE_ANSWER_US,
     KNOWN_AFTER_US,
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect or send a request at the moment of a planned close (see tests.crossing)."""
+"""Clients that disconnect or send a request at the moment of a planned close (see tests.races)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from stackrouter.net import listener as listening
 from stackrouter.net.listener import Connection, Listener, MalformedError, Patience
 from stackrouter.ops.drain import Drain
-from tests.crossing import PATIENCE_S, TIMES, wait_until
+from tests.races import PATIENCE_S, TIMES, wait_until
 
 
 class LineSession:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stackrouter.ops.door import Crowd
+from stackrouter.ops.admin_queue import Crowd
 from tests.exchange import PATIENCE_S, ROOT, SETTINGS, Discovery, Player, free_address
 
 Steps = st.lists(st.tuples(st.floats(0.0, 0.1), st.booleans()), max_size=60)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -19,7 +19,7 @@
 from stackrouter.core.model import Attempt, Node, Request
 from stackrouter.core.violations import ViolationLog
 from stackrouter.fronts.platform.node import Command
-from tests.crossing import wait_until
+from tests.races import wait_until
 from tests.test_node_crossings import CLASSES, KEYED, SAFE, SERVED, Nodes
 
 ROOT = Path(__file__).parent.parent / "stackrouter"
@@ -31,7 +31,7 @@
     "net/client_socket.py": "clients, behind the gate",
     "net/list_call.py": "calls to discovery",
     "net/admin.py": "the admin port",
-    "net/door.py": "listening sockets",
+    "net/listen_socket.py": "listening sockets",
     "net/listener.py": "accepts, and passes accepted sockets to a ClientSocket",
     "net/ring.py": "reads and writes for the modules above",
 }
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -21,7 +21,7 @@
 
 from rackseam.interface import NodeEntry, NodeState, Outcome, Send
 from stackrouter.core.counters import Counters
-from stackrouter.membership.asking import CallScheduler
+from stackrouter.membership.call_scheduler import CallScheduler
 from stackrouter.membership.listing import Listing
 from stackrouter.net.discovery import Discovery, call_timing
 from tests.gateway import MS, SETTINGS, Gateway, S
--- a/tests/test_limit_sharing.py
+++ b/tests/test_limit_sharing.py
@@ -31,13 +31,13 @@
 from stackrouter.core.counters import Counters
 from stackrouter.errors import LimitLogError
 from stackrouter.sharing import buckets as sharing
-from stackrouter.sharing.account import ReplayedBuckets
 from stackrouter.sharing.buckets import SharedBuckets
 from stackrouter.sharing.log_file import MAX_LOG_BYTES, SharedFile
 from stackrouter.sharing.mode import JOIN_DELAY_US, SCAN_MAX_AGE_US, Mode, ProcessView
 from stackrouter.sharing.presence import SocketPresence
 from stackrouter.sharing.records import RECORD_BYTES, Record, RecordKind, RecordReader
-from stackrouter.sharing.room import CLIENTS, ProcessRooms, SharedSocketLimit
+from stackrouter.sharing.replay import ReplayedBuckets
+from stackrouter.sharing.socket_limits import CLIENTS, ProcessRooms, SharedSocketLimit
 from tests.exchange import ROOT
 
 MS, S = 1_000, 1_000_000
@@ -476,7 +476,7 @@
 
 
 class MemoryCounts:
-    """In-memory `stackrouter.sharing.room.SocketCounts` of one process among several."""
+    """In-memory `stackrouter.sharing.socket_limits.SocketCounts` of one process among several."""
 
     def __init__(self, table: dict[int, int], slot: int) -> None:
         self.table, self.slot = table, slot
--- a/tests/test_list_pieces.py
+++ b/tests/test_list_pieces.py
@@ -17,7 +17,7 @@
 from stackrouter.core.engine import Engine
 from stackrouter.membership import list_changes
 from stackrouter.membership.list_changes import PIECE, Address, ListChanges, Piece
-from stackrouter.net.list_taker import ListTaker
+from stackrouter.net.list_applier import ListTaker
 from tests.gateway import SETTINGS
 
 PORT = 6379
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -1,4 +1,4 @@
-"""Changes of a client, a node or a list while an attempt waits to be written (see tests.crossing)."""
+"""Changes of a client, a node or a list while an attempt waits to be written (see tests.races)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from stackrouter.core.model import Attempt, Request, Result, Verdict
 from stackrouter.fronts.platform.node import Command
 from stackrouter.net.pool import Pool
-from tests.crossing import PATIENCE_S, TIMES, wait_until
+from tests.races import PATIENCE_S, TIMES, wait_until
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 SERVED = b"*3\r\n$1\r\n1\r\n$-1\r\n$-1\r\n"
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -260,7 +260,7 @@
         status = gateway_status(serving=12, since_s=0.5)
         times = iter([requested_at, answered_at, 17 * S, 18 * S])
         with (
-            mock.patch("stackrouter.fleet.scale.doors.gateway_status", return_value=status),
+            mock.patch("stackrouter.fleet.scale.admin_client.gateway_status", return_value=status),
             mock.patch("time.monotonic_ns", side_effect=lambda: next(times)),
         ):
             gateway.poll()
