--- a/benchmarks/attribution.py
+++ b/benchmarks/attribution.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterator
 from multiprocessing import Pool
 
-from stackrouter.accounts.report import Usual, read
+from stackrouter.accounts.report import UsualRates, account_for
 from stackrouter.core import facts
-from stackrouter.model.fleet import play
+from stackrouter.model.fleet import simulate
 from stackrouter.model.traffic import Noisy, settings_for
 
 
@@ -24,22 +24,22 @@
     noisy, seed = task
     recorded: list[tuple[int, facts.Fact]] = []
     subscribers = [lambda fact, g=g: recorded.append((g, fact)) for g in range(3)]
-    noisy_run = play(seed, noisy, subscribers=subscribers)
+    noisy_run = simulate(seed, noisy, subscribers=subscribers)
     settings = settings_for(3, 9, seed)
     rates = [plan.usual_units_per_s for plan in settings.plans]
-    usual = Usual(
+    usual = UsualRates(
         (("basic", rates[0]), ("priority", rates[1])), ("match-read", "turn-write"), settings.max_units
     )
 
     def stream() -> Iterator[tuple[int, facts.Fact]]:
         return iter(recorded)
 
-    accounts = read(usual, stream)
+    accounts = account_for(usual, stream)
     [((volume, _), largest), *_] = accounts.causes.largest(1)
     total_us = accounts.causes.total + accounts.node_us + accounts.own_us + accounts.unattributed_us
     if noisy_run.noisy is None:
         return False, 0.0, 0.0, largest.us / total_us
-    quiet_run = play(seed, noisy, with_noise=False)
+    quiet_run = simulate(seed, noisy, with_noise=False)
     created_us = sum(
         us - quiet_run.latency_us[v] for v, us in noisy_run.latency_us.items() if v != noisy_run.noisy
     )
--- a/benchmarks/control_heartbeats.py
+++ b/benchmarks/control_heartbeats.py
@@ -28,12 +28,12 @@
 from stackrouter.controlplane.server import ControlServer
 from stackrouter.controlplane.snapshot import ReplicatedState
 from stackrouter.coord.member import boottime_us
-from stackrouter.coord.policy import Rules
+from stackrouter.coord.policy import HeartbeatRules
 from stackrouter.coord.port import LogPosition, ServingReport
 from stackrouter.core.counters import Counters
 
 POSITION = LogPosition("benchmark", 1)
-RULES = Rules(validity_us=2_000_000, max_drift_us=200_000)
+RULES = HeartbeatRules(validity_us=2_000_000, max_drift_us=200_000)
 SETTLE_TIME_S = 3.0
 
 
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -17,9 +17,9 @@
 import gevent
 
 from stackrouter.standins.fleet import Scene, StandinFleet
-from stackrouter.standins.node import Nature
+from stackrouter.standins.node import NodeBehavior
 
-FAST_NODE = Nature(cores=4, unit_s=0.001, put_off=0.0, pause_every_s=None)
+FAST_NODE = NodeBehavior(cores=4, unit_s=0.001, deferred_share=0.0, pause_every_s=None)
 EDGE_BY_KIND = {
     "off": "",
     "file, all off": 'accounts { enabled: false } trace { enabled: false file: "x" }',
@@ -45,11 +45,11 @@
     with tempfile.TemporaryDirectory() as folder:
         scene = Scene(1, 3, 1, load, "none", edge=edge.replace("FOLDER", folder))
         with StandinFleet(scene, Path(folder), FAST_NODE) as fleet:
-            clients, pid = fleet.play(), fleet.programs[0].pid
+            clients, pid = fleet.start_clients(), fleet.processes[0].pid
             gevent.sleep(1.0)
 
             def request_count() -> int:
-                return sum(volume_results.verdicts.total() for volume_results in clients.told.values())
+                return sum(volume_results.verdicts.total() for volume_results in clients.results.values())
 
             first_count, first_cpu_s = request_count(), cpu_s(pid)
             gevent.sleep(seconds)
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -44,8 +44,8 @@
         body = json.dumps({"index": n, "snapshot": True, "endpoints": nodes}).encode()
         started_s = time.process_time()
         version, entries, addresses = read_whole(listing, json.loads(body))
-        engine.listed(ListKind.FULL, version, entries, addresses)
-        engine.turn()
+        engine.update_nodes(ListKind.FULL, version, entries, addresses)
+        engine.process_events()
         cpu_s += time.process_time() - started_s
     return cpu_s / rounds * 1e6
 
@@ -67,9 +67,9 @@
 
     class ImmediateTransport:
         def start(self, attempt: Attempt) -> None:
-            engine.ended(attempt, Reply(Outcome.DONE, b"x"))
+            engine.attempt_ended(attempt, Reply(Outcome.DONE, b"x"))
 
-        def give_up(self, attempt: Attempt) -> None:
+        def abort(self, attempt: Attempt) -> None:
             pass
 
         def close_idle(self, node: str) -> None:
@@ -89,8 +89,8 @@
             deadline_us=clock_us() + 2_000_000, repeat=False, write=False, wire="x", exchange=lambda: None,
             answer=answer,
         ))  # fmt: skip
-        engine.turn()
-        engine.turn()
+        engine.process_events()
+        engine.process_events()
     cpu_s = time.process_time() - started_s
     assert answered > rounds * 0.95, answered
     return cpu_s / rounds * 1e6
@@ -131,7 +131,7 @@
 
     from stackrouter.net.discovery import Discovery
 
-    discovery = Discovery(("", 0), listing, engine.counters, engine.listed, known=0)
+    discovery = Discovery(("", 0), listing, engine.counters, engine.update_nodes, known=0)
     runner = gevent.spawn(engine.run)
     nodes = [make_endpoint(i) for i in range(count)]
 
@@ -151,12 +151,12 @@
     raw = json.loads(body)
     results = {"json": (time.process_time() - started_s) * 1e6}
     meter = LoopBlockMeter()
-    results["whole"] = timed(lambda: discovery.follow(raw))
+    results["whole"] = timed(lambda: discovery.apply_relayed(raw))
     first_block_us = meter.stop()
     nodes[count // 2]["status"] = "draining"
     raw = json.loads(json.dumps(snapshot(2)))
     meter = LoopBlockMeter()
-    results["again"] = timed(lambda: discovery.follow(raw))
+    results["again"] = timed(lambda: discovery.apply_relayed(raw))
     results["hold"] = max(first_block_us, meter.stop())
     assert len(engine.nodes) == count, len(engine.nodes)
 
@@ -164,7 +164,7 @@
         for n in range(CHANGED_ENTRIES):
             status = "draining" if n % 2 else "up"
             change = {**make_endpoint(n // 2 % count), "status": status}
-            discovery.follow({"index": 3 + n, "snapshot": False, "endpoints": [change]})
+            discovery.apply_relayed({"index": 3 + n, "snapshot": False, "endpoints": [change]})
             gevent.sleep(0)
 
     results["entry"] = timed(changes) / CHANGED_ENTRIES
--- a/rackseam/benchlink.py
+++ b/rackseam/benchlink.py
@@ -64,7 +64,7 @@
     """A line of the input violates the protocol."""
 
 
-def settings_of(conf: dict[str, Any], seed: int) -> Settings:
+def parse_settings(conf: dict[str, Any], seed: int) -> Settings:
     """Settings from the simulator's start message; absent and null values take the defaults of `Settings`."""
 
     def section(key: str) -> dict[str, Any]:
@@ -170,7 +170,7 @@
         request_class=_integer(message[3]),
         plan=_integer(message[4] or 0),
         key=message[5] or "",
-        grace_us=_integer(message[6]),
+        time_left_us=_integer(message[6]),
         volume=message[7] or "",
         units=float(message[8]),
         shard=_integer(-1 if message[9] is None else message[9]),
@@ -290,7 +290,7 @@
             self.replies = []
         elif name == "Hello":
             instance = _integer(message[1])
-            self.controllers[instance] = Controller(settings_of(message[3], _integer(message[2] or 0)))
+            self.controllers[instance] = Controller(parse_settings(message[3], _integer(message[2] or 0)))
             self.pending[instance] = []
         elif name == "Teardown":
             instance = _integer(message[1])
--- a/rackseam/control.py
+++ b/rackseam/control.py
@@ -20,7 +20,7 @@
 from rackseam.admission import Backlog, limit_wait_us, node_wait_us
 from rackseam.buckets import EPSILON, Buckets, LimitBuckets, LimitPart, limit_part
 from rackseam.interface import Action, Effect, ListKind, NodeState, Outcome, Settings
-from rackseam.slow_start import CONTENDERS_MEMORY_US, NodeHistory, Shares, SlowStart, contending_gateways
+from rackseam.slow_start import CONTENDERS_WINDOW_US, NodeHistory, Shares, SlowStart, contending_gateways
 
 IN_FLIGHT_AIM_FRACTION = 0.15  # serving the units in flight at a node may take this part of the tightest aim
 MIN_IN_FLIGHT_REQUESTS = 4.0  # requests of mean size allowed in flight at any node: keeps its cores busy
@@ -69,14 +69,14 @@
         self.units, self.key, self.arrived_at = arrival.units, arrival.key, now
         # The aim of a client's retry counts from its first try, so that the retry does not take capacity from
         # requests that can still be in time.
-        self.deadline_at = now + arrival.grace_us
-        self.aim_at = now + min(class_settings.aim_us, arrival.grace_us) if aim_at is None else aim_at
+        self.deadline_at = now + arrival.time_left_us
+        self.aim_at = now + min(class_settings.aim_us, arrival.time_left_us) if aim_at is None else aim_at
         self.retry_key = (arrival.volume, arrival.key, arrival.request_class, arrival.units)
         self.attempts: list[tuple[_Node, int] | None] = []  # (node, sent at); None once the outcome is known
         self.in_flight, self.queue_key = 0, (self.aim_at, seq)
         self.maybe_ran_at = -1  # send time of the first attempt that may have been executed
         self.bound_node: _Node | None = None  # node of that attempt: repeats stay within its group
-        self.hold_until = min(now + int(arrival.grace_us * HOLD_TIME_FRACTION), self.aim_at)
+        self.hold_until = min(now + int(arrival.time_left_us * HOLD_TIME_FRACTION), self.aim_at)
         self.tokens_spent = self.queued = self.late = self.finished = self.streaming = self.reached = False
         self.spend_pending, self.spent_at = False, 0  # tokens are spent, but no node has received the request
         self.counted = False  # included in the queued units of its lane
@@ -85,12 +85,12 @@
 
 class _Node:
     def __init__(self, node: str) -> None:
-        self.id, self.shard, self.zone, self.ready, self.place = node, -1, 0, False, -1
+        self.id, self.shard, self.zone, self.ready, self.ready_index = node, -1, 0, False, -1
         self.history = NodeHistory(node)
         self.timeouts = self.last_timeout_at = 0  # time-outs since the last answer
         self.in_flight_units, self.rate, self.rate_at, self.rtt, self.rtt_at = 0.0, 0.0, 0, 0.0, 0
         self.heard_at = self.paused_until = self.recheck_at = 0
-        self.broken = 0  # connections broken since the last answer; refused ones count twice
+        self.broken_connections = 0  # connections broken since the last answer; refused ones count twice
         self.trial_interval = 0.0  # microseconds; above 0 while the node counts as silent
 
 
@@ -131,9 +131,9 @@
 
     def __init__(self, settings: Settings, buckets: Buckets | None = None) -> None:
         """`buckets`: the token buckets of limits; None: this process alone uses the gateway's part."""
-        self.s = settings
+        self.settings = settings
         self.buckets: Buckets = buckets or LimitBuckets(settings.max_units)
-        self.sharers, self.rank = 1, 0  # number of processes of this gateway, and this one's index
+        self.process_count, self.rank = 1, 0  # number of processes of this gateway, and this one's index
         self.random = random.Random(settings.seed)
         self.tightest_aim = float(min(c.aim_us for c in settings.classes))
         self.margin_us = 2 * settings.step_us
@@ -141,12 +141,13 @@
         self.started_at, self.loss = -1, 0.0  # `loss`: fraction of answers that seem to be lost
         self.timer_at = NO_TIMER
         self.actions: list[Action] = []
-        self.held: list[tuple[str, float]] | None = None  # (request, wait for tokens) if they are recorded
+        # (request, wait for tokens) if they are recorded
+        self.token_waits: list[tuple[str, float]] | None = None
         self.scheduled: list[tuple[int, int, Callable[[], None], _Request | None]] = []
         self.requests: dict[str, _Request] = {}
         self.volumes: dict[tuple[str, int], _Volume] = {}
         self.nodes: dict[str, _Node] = {}
-        self.listed: list[_Node] = []  # the ready nodes, each at its index `place`
+        self.ready_nodes: list[_Node] = []  # the ready nodes, each at its index `ready_index`
         self.leaving: dict[str, _Node] = {}  # not ready; dropped once nothing is in flight there
         self.all_nodes = _Node("")  # mean answer time and total rate of all nodes
         self.shards: dict[int, _Shard] = {}
@@ -168,9 +169,9 @@
         self.now = now_us
         if self.started_at < 0:
             self.started_at = now_us
-            self.slow_start = SlowStart(self.s, now_us)
+            self.slow_start = SlowStart(self.settings, now_us)
             self.buckets.begin(now_us)
-            if self.s.list_on_request:
+            if self.settings.list_on_request:
                 self._subscribe()
         for event in events:
             match event:
@@ -189,8 +190,8 @@
                     self._finish(self.requests[request])
                 case api.LimitsChanged(volume, plan):
                     self._handle_limits_changed(volume, plan)
-                case api.SharersChanged(sharers, rank):
-                    self.sharers, self.rank = sharers, rank
+                case api.ProcessesChanged(process_count, rank):
+                    self.process_count, self.rank = process_count, rank
                 case api.ProbeResult(node, Outcome.DONE) if node in self.nodes:
                     self._record_response(self.nodes[node], 0)
             self._serve_marked()
@@ -256,10 +257,13 @@
             known = self.nodes.get(entry.node)
             if known is None:
                 known = self.nodes[entry.node] = _Node(entry.node)
-            if entry.launched_us > known.history.launched and known.history.launched + known.rate_at > 0:
+            if (
+                entry.launched_us > known.history.launched_us
+                and known.history.launched_us + known.rate_at > 0
+            ):
                 # The node has restarted: discard what was measured before.
                 known.rate, known.rtt_at, known.trial_interval, known.paused_until = 0.0, 0, 0.0, 0
-            if entry.launched_us > known.history.launched:
+            if entry.launched_us > known.history.launched_us:
                 known.history.restarted(entry.launched_us)
             known.zone = entry.zone
             if entry.shard != known.shard:
@@ -278,14 +282,14 @@
 
     def _set_ready(self, node: _Node, ready: bool) -> None:
         """Add the node to the ready ones or remove it, in constant time: the last one takes its place."""
-        if ready and node.place < 0:
-            node.place = len(self.listed)
-            self.listed.append(node)
-        elif not ready and node.place >= 0:
-            last = self.listed[-1]
-            self.listed[node.place], last.place = last, node.place
-            self.listed.pop()
-            node.place = -1
+        if ready and node.ready_index < 0:
+            node.ready_index = len(self.ready_nodes)
+            self.ready_nodes.append(node)
+        elif not ready and node.ready_index >= 0:
+            last = self.ready_nodes[-1]
+            self.ready_nodes[node.ready_index], last.ready_index = last, node.ready_index
+            self.ready_nodes.pop()
+            node.ready_index = -1
         node.ready = ready
         self.leaving.pop(node.id, None)
         if not ready:
@@ -294,12 +298,12 @@
     # --- arriving requests
 
     def _handle_arrival(self, arrival: api.Arrival) -> None:
-        for name, known in (("request_class", self.s.classes), ("plan", self.s.plans)):
+        for name, known in (("request_class", self.settings.classes), ("plan", self.settings.plans)):
             if not 0 <= getattr(arrival, name) < len(known):
                 raise ValueError(f"{name}: {getattr(arrival, name)} is not defined in the settings")
         if arrival.request in self.requests:
             return
-        class_settings = self.s.classes[arrival.request_class]
+        class_settings = self.settings.classes[arrival.request_class]
         volume = self._volume_for(arrival)
         shard = self.shards.setdefault(arrival.shard, _Shard(arrival.shard))
         shard.requested_at = self.now
@@ -307,7 +311,7 @@
         self.seq += 1
         request = _Request(arrival, class_settings, lane, self.now, self.seq, self._aim_of_first_try(arrival))
         self.requests[arrival.request] = request
-        if self.s.resend_ratio is not None:
+        if self.settings.resend_ratio is not None:
             self.arrival_times.append(self.now)
         self._schedule(request.deadline_at - self.margin_us, lambda: self._expire(request), request)
         self._schedule(request.hold_until, lambda: self._expire_unsent(request), request)
@@ -325,9 +329,12 @@
         """Whether the queue ahead takes the request past its aim, at the rate of its nodes or its limit."""
         lane, volume, shard = request.lane, request.lane.volume, request.lane.shard
         time_left = request.aim_at - self.now
-        if self.sharers == 1 and volume.part is not None and volume.queued_units:
+        if self.process_count == 1 and volume.part is not None and volume.queued_units:
             alone = self._token_wait_us(request)
-            if limit_wait_us(alone, volume.queued_units, volume.part.rate) > time_left + self.tightest_aim:
+            if (
+                limit_wait_us(alone, volume.queued_units, volume.part.units_per_us)
+                > time_left + self.tightest_aim
+            ):
                 request.waited_for_tokens = True
                 return True
         if shard.number < 0 or shard.backlog.standing_since < 0:
@@ -376,12 +383,12 @@
             lane.queued_units = lane.backlog_weight = 0.0
 
     def _volume_for(self, arrival: api.Arrival) -> _Volume:
-        plan, gateways = self.s.plans[arrival.plan], max(1, arrival.gateways)
+        plan, gateways = self.settings.plans[arrival.plan], max(1, arrival.gateways)
         volume = self.volumes.pop((arrival.volume, arrival.plan), None)
         if volume is None:
             self._drop_idle_volume()
             part = limit_part(plan, arrival.volume, arrival.plan, gateways)
-            volume = _Volume(plan, part, gateways, self.now, self.s.max_units)
+            volume = _Volume(plan, part, gateways, self.now, self.settings.max_units)
         elif volume.plan is not plan or volume.gateways < gateways:
             # New settings also apply to known volumes; their tokens are kept up to the new depth.
             volume.plan, volume.gateways = plan, max(volume.gateways, gateways)
@@ -405,7 +412,7 @@
             (arrival.volume, arrival.key, arrival.request_class, arrival.units), []
         )
         for i, (deadline_at, aim_at) in enumerate(tries):
-            if abs(deadline_at - self.now - arrival.grace_us) <= DEADLINE_TOLERANCE_US:
+            if abs(deadline_at - self.now - arrival.time_left_us) <= DEADLINE_TOLERANCE_US:
                 del tries[i]
                 return aim_at
         return None
@@ -496,8 +503,8 @@
         wait_us = self._token_wait_us(request)
         if wait_us > 0:
             request.waited_for_tokens = True
-            if self.held is not None:
-                self.held.append((request.id, wait_us))
+            if self.token_waits is not None:
+                self.token_waits.append((request.id, wait_us))
             version = lane.version
             if wait_us < math.inf:
                 self._schedule(self.now + wait_us, lambda: self._tokens_due(lane, version))
@@ -572,11 +579,11 @@
 
     def _max_in_flight_units(self, node: _Node) -> float:
         """Units that may be in flight at a node: its rate here times a fraction of the tightest aim."""
-        rate = self._rate(node) if node.rtt_at else self._rate(self.all_nodes) / max(1, len(self.listed))
+        rate = self._rate(node) if node.rtt_at else self._rate(self.all_nodes) / max(1, len(self.ready_nodes))
         # Many gateways with the minimum number of requests each, or requests costlier than their units, can
         # fill a node's queue past every aim. Whatever the cause, answers slower than that fraction of the aim
         # reduce the minimum.
-        mean_units, service_us = self.s.mean_units, self.tightest_aim * IN_FLIGHT_AIM_FRACTION
+        mean_units, service_us = self.settings.mean_units, self.tightest_aim * IN_FLIGHT_AIM_FRACTION
         min_units = (
             MIN_IN_FLIGHT_REQUESTS * mean_units * min(1.0, service_us / max(1.0, self._rtt(node))) ** 2
         )
@@ -600,7 +607,7 @@
             return 0.0
         if node.trial_interval:
             return EPSILON
-        max_units, mean_units = self._max_in_flight_units(node), self.s.mean_units
+        max_units, mean_units = self._max_in_flight_units(node), self.settings.mean_units
         if max_units < mean_units and not reserved:
             # With many gateways, one request in flight for each is a long queue already. So a cap below one
             # request becomes a rate: the time between sends keeps that much in flight on average. Requests
@@ -637,9 +644,9 @@
             return False
         # Each process counts as a gateway of its own, so that all of this gateway's keep to its share.
         shares = Shares(
-            gateways=self.s.gateways * self.sharers,
-            position=self.s.position * self.sharers + self.rank,
-            contenders=self._contending_gateways() * self.sharers,
+            gateways=self.settings.gateways * self.process_count,
+            position=self.settings.position * self.process_count + self.rank,
+            contenders=self._contending_gateways() * self.process_count,
         )
         admits_at = self.slow_start.admits_at(node.history, units, self.now, shares)
         if admits_at <= self.now:
@@ -651,11 +658,11 @@
     def _contending_gateways(self) -> float:
         """Estimated number of gateways with work for the same node, recalculated at intervals."""
         if self.now >= self.contenders_until:
-            since = max(0, self.now - CONTENDERS_MEMORY_US)
+            since = max(0, self.now - CONTENDERS_WINDOW_US)
             requested = sum(shard.requested_at > since for shard in self.shards.values())
             running_us = self.now - self.started_at
             self.contenders = contending_gateways(
-                self.s.gateways, requested, len(self.shards) - 1, running_us
+                self.settings.gateways, requested, len(self.shards) - 1, running_us
             )
             self.contenders_until = self.now + int(self.tightest_aim * RETRY_DELAY_AIMS)
         return self.contenders
@@ -666,7 +673,7 @@
         if shard.number < 0:
             # With equal data all gateways would pick the same node, and the cost of looking at every node
             # grows with the fleet.
-            candidates = self.random.sample(self.listed, min(SAMPLED_NODES, len(self.listed)))
+            candidates = self.random.sample(self.ready_nodes, min(SAMPLED_NODES, len(self.ready_nodes)))
         for node in candidates:
             if not node.ready or (
                 request.bound_node is not None
@@ -753,7 +760,7 @@
 
         If not, the request is queued again later, or ended when the key's lifetime is over.
         """
-        settings = self.s
+        settings = self.settings
         if (
             request.maybe_ran_at >= 0
             and request.class_settings.effect is Effect.KEYED
@@ -779,11 +786,11 @@
             request.tokens_spent = True
             if volume.part is not None:
                 self.buckets.spend(volume.part, request.units, self.now)
-                spends = request.spend_pending = self.buckets.tracks
+                spends = request.spend_pending = self.buckets.tracks_writes
                 request.spent_at = self.now
             self._refill_reserve(volume)
             volume.reserve = max(-volume.plan.reserve_units_per_s, volume.reserve - request.units)
-        if request.attempts and self.s.resend_ratio is not None:
+        if request.attempts and self.settings.resend_ratio is not None:
             self.resend_times.append(self.now)
         self._uncount_queued(request)
         request.queued = False
@@ -804,7 +811,7 @@
             if (
                 expected_us
                 and expected_us * (LOSS_TIMEOUT_RTTS + 1) <= timeout_us
-                and len(request.attempts) < self.s.max_attempts
+                and len(request.attempts) < self.settings.max_attempts
             ):
                 timeout_us = int(expected_us * LOSS_TIMEOUT_RTTS)
         self.actions.append(api.Send(request.id, node.id, timeout_us, spends))
@@ -816,10 +823,10 @@
 
         Without it, large requests would make the node look slow and small requests unable to meet their aim.
         """
-        return 1 - SIZE_RTT_FRACTION + SIZE_RTT_FRACTION * request.units / self.s.mean_units
+        return 1 - SIZE_RTT_FRACTION + SIZE_RTT_FRACTION * request.units / self.settings.mean_units
 
     def _record_response(self, node: _Node, rtt_us: float) -> None:
-        node.heard_at, node.trial_interval, node.timeouts, node.broken = self.now, 0.0, 0, 0
+        node.heard_at, node.trial_interval, node.timeouts, node.broken_connections = self.now, 0.0, 0, 0
         if rtt_us:
             self._update_rtt(node, rtt_us)
 
@@ -885,8 +892,8 @@
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             # One broken connection does not mean that the node is down, the next attempt shows it; but two
             # refused ones do.
-            node.broken += 2 if outcome is Outcome.CONNECT_FAILED else 1
-            if node.broken >= MAX_BROKEN_CONNECTIONS:
+            node.broken_connections += 2 if outcome is Outcome.CONNECT_FAILED else 1
+            if node.broken_connections >= MAX_BROKEN_CONNECTIONS:
                 self._mark_silent(node)
         elif outcome is Outcome.MOOT and not answer.closed:
             self._pause_node(node, self.tightest_aim * RETRY_DELAY_AIMS * (0.5 + self.random.random()))
@@ -905,12 +912,12 @@
         if outcome not in NOT_EXECUTED and request.maybe_ran_at < 0:
             request.maybe_ran_at, request.bound_node = sent_at, node
         if outcome in MAYBE_RUNNING and request.key and request.class_settings.ordered:
-            self.key_rests[request.key] = self.now + self.s.key_rest_us
+            self.key_rests[request.key] = self.now + self.settings.key_rest_us
         if answer.closed or request.finished:
             self._finish(request)
         elif not request.in_flight:
             must_not_repeat = request.maybe_ran_at >= 0 and request.class_settings.effect is Effect.UNSAFE
-            if request.streaming or must_not_repeat or len(request.attempts) >= self.s.max_attempts:
+            if request.streaming or must_not_repeat or len(request.attempts) >= self.settings.max_attempts:
                 self._refuse_or_fail(request)
             else:
                 self._enqueue(request)
@@ -929,7 +936,9 @@
 
     def _retry_after_us(self, request: _Request) -> int:
         """Retry delay for the client: the present queue takes about as long as this request has waited."""
-        return min(self.s.retry_after_most_us, max(int(self.tightest_aim), self.now - request.arrived_at))
+        return min(
+            self.settings.retry_after_most_us, max(int(self.tightest_aim), self.now - request.arrived_at)
+        )
 
     def _refuse_or_fail(self, request: _Request) -> None:
         """Give the request its final answer, and remember its deadline and aim for a retry by the client."""
@@ -973,7 +982,7 @@
             self._refuse_or_fail(request)
 
     def _cancel(self, request: _Request) -> None:
-        if self.s.may_cancel:
+        if self.settings.may_cancel:
             self.actions.extend(
                 api.Cancel(request.id, number)
                 for number, attempt in enumerate(request.attempts)
--- a/rackseam/interface.py
+++ b/rackseam/interface.py
@@ -204,7 +204,7 @@
 class Arrival:
     """A client request; shard -1 is a new object that any node may take.
 
-    `gateways`: number of gateways that share the volume; `grace_us`: time until the request's deadline.
+    `gateways`: number of gateways that share the volume; `time_left_us`: time until the request's deadline.
     """
 
     request: str
@@ -215,7 +215,7 @@
     shard: int
     gateways: int
     key: str
-    grace_us: int
+    time_left_us: int
     repeat: bool = False
     write: bool = False
 
@@ -285,10 +285,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SharersChanged:
-    """`sharers` processes of this gateway are serving; `rank` is the index of this one, from 0."""
+class ProcessesChanged:
+    """`process_count` processes of this gateway are serving; `rank` is the index of this one, from 0."""
 
-    sharers: int
+    process_count: int
     rank: int
 
 
@@ -310,7 +310,7 @@
     | ProbeResult
     | PeerMessage
     | LimitsChanged
-    | SharersChanged
+    | ProcessesChanged
 )
 
 
--- a/rackseam/slow_start.py
+++ b/rackseam/slow_start.py
@@ -31,11 +31,13 @@
 
 from rackseam.interface import Settings
 
-ANSWERS_PART = 0.5  # fraction of a cold node's budget that answers may admit, besides the allowed excess
-TURNS_PART = 0.5  # fraction of a cold node's budget that is distributed in turns of one request per gateway
+# Fraction of a cold node's budget that answers may admit, besides the allowed excess.
+ANSWERS_BUDGET_FRACTION = 0.5
+# Fraction of a cold node's budget that is distributed in turns of one request per gateway.
+TURNS_BUDGET_FRACTION = 0.5
 SMALL_BUDGET_REQUESTS = 30  # below this budget the rule allows a larger excess
-LEAST_COLD_SHARE = 0.1  # minimum of the cold share from which the growth of the budget is calculated
-CONTENDERS_MEMORY_US = 5_000_000  # period over which requested shards are counted for `contending_gateways`
+MIN_COLD_SHARE = 0.1  # minimum of the cold share from which the growth of the budget is calculated
+CONTENDERS_WINDOW_US = 5_000_000  # period over which requested shards are counted for `contending_gateways`
 
 
 @dataclass(slots=True)
@@ -43,7 +45,7 @@
     """When a node started, and what this gateway has sent to it within the last `fall_us`."""
 
     name: str
-    launched: int = 0  # time of the node's start; 0: long ago
+    launched_us: int = 0  # time of the node's start; 0: long ago
     in_flight: int = 0  # attempts without an outcome
     credit: float = 0.0  # units earned but not sent as of `credit_at`; below 0: sent ahead of the rate
     credit_at: int = 0
@@ -51,9 +53,9 @@
     last_served_at: int = 0  # time of the last successful answer
     recent_sends: deque[tuple[int, float]] = field(default_factory=deque)  # (time, units) within `fall_us`
 
-    def restarted(self, launched: int) -> None:
+    def restarted(self, launched_us: int) -> None:
         """The node has restarted: units sent before its start no longer count."""
-        self.launched = self.credit_at = launched
+        self.launched_us = self.credit_at = launched_us
         self.credit = 0.0
 
     def record_send(self, units: float, now: int) -> None:
@@ -80,12 +82,12 @@
 def contending_gateways(gateways: int, shards_asked: int, shards: int, running_us: int) -> float:
     """Estimated number of gateways that may have requests for the same node.
 
-    It is the same fraction of all gateways as the shards requested here within `CONTENDERS_MEMORY_US`
+    It is the same fraction of all gateways as the shards requested here within `CONTENDERS_WINDOW_US`
     (`shards_asked`) are of all shards. A gateway that has been running for less than that extrapolates: since
     a burst of requests goes to one shard, the number of shards grows with about the square root of time. It
     also counts up to one shard that it has not seen yet.
     """
-    observed = min(1.0, max(running_us, 1) / CONTENDERS_MEMORY_US)
+    observed = min(1.0, max(running_us, 1) / CONTENDERS_WINDOW_US)
     fraction = (shards_asked / math.sqrt(observed) + 1 - observed) / max(1, shards)
     return max(1.0, min(1.0, fraction) * gateways)
 
@@ -105,16 +107,16 @@
         self._started_at = started_at
         self._growth = 0.0  # of the budget, per microsecond, relative to its initial value
         if settings.cold_us:
-            self._growth = (1 / max(settings.cold_share, LEAST_COLD_SHARE) - 1) / settings.cold_us
+            self._growth = (1 / max(settings.cold_share, MIN_COLD_SHARE) - 1) / settings.cold_us
 
     def is_cold(self, node: NodeHistory, now: int) -> bool:
         """Whether the budget applies: the last `fall_us` reach back to a time when the node was cold."""
         since = now - self._settings.fall_us
         while node.recent_sends and node.recent_sends[0][0] <= since:
             node.recent_sends.popleft()
-        if not node.launched or not self._settings.cold_us:
+        if not node.launched_us or not self._settings.cold_us:
             return False
-        return since - node.launched < self._settings.cold_us
+        return since - node.launched_us < self._settings.cold_us
 
     def admits_at(self, node: NodeHistory, units: float, now: int, shares: Shares) -> float:
         """When a request of `units` may go to this cold node.
@@ -123,13 +125,13 @@
         node can admit it.
         """
         budget = self._budget(node, now)
-        share = max(1 / shares.gateways, TURNS_PART / shares.contenders)
+        share = max(1 / shares.gateways, TURNS_BUDGET_FRACTION / shares.contenders)
         if sum(sent for _, sent in node.recent_sends) + units <= share * self._share_base(node, budget, now):
             return now
         if units > budget / 2 or node.in_flight:
             return math.inf
         next_turn = self._next_turn(node, shares)
-        if not node.last_served_at >= node.last_sent_at > node.launched:
+        if not node.last_served_at >= node.last_sent_at > node.launched_us:
             return next_turn
         return min(next_turn, self._earned_at(node, units, budget, now, shares))
 
@@ -139,7 +141,7 @@
         if not budget:
             return math.inf
         requests = budget / settings.mean_units
-        period_units = (ANSWERS_PART * requests + allowed_excess(requests)) * settings.mean_units
+        period_units = (ANSWERS_BUDGET_FRACTION * requests + allowed_excess(requests)) * settings.mean_units
         rate = period_units / (shares.contenders * max(1, settings.fall_us))
         since = max(node.credit_at, self._started_at)
         node.credit = min(settings.max_units, node.credit + rate * max(0, now - since))
@@ -151,7 +153,7 @@
 
         It is what the node could handle at the start of that period, as it warms up at least linearly.
         """
-        age = max(0, now - self._settings.fall_us - node.launched)
+        age = max(0, now - self._settings.fall_us - node.launched_us)
         return self._settings.cold_bears_units * (1 + self._growth * age)
 
     def _share_base(self, node: NodeHistory, budget: float, now: int) -> float:
@@ -163,9 +165,9 @@
         """
         period = max(1, self._settings.fall_us)
         part_before = 1 - (now - self._started_at) / period
-        if part_before <= 0 or node.launched >= self._started_at:
+        if part_before <= 0 or node.launched_us >= self._started_at:
             return budget
-        gained = self._settings.cold_bears_units * self._growth * min(period, now - node.launched)
+        gained = self._settings.cold_bears_units * self._growth * min(period, now - node.launched_us)
         return min(budget, budget * (1 - part_before) + gained)
 
     def _next_turn(self, node: NodeHistory, shares: Shares) -> float:
@@ -177,16 +179,24 @@
         before the period that still counts.
         """
         settings, growth = self._settings, self._growth
-        rate = TURNS_PART * settings.cold_bears_units / (settings.mean_units * max(1, settings.fall_us))
+        rate = (
+            TURNS_BUDGET_FRACTION
+            * settings.cold_bears_units
+            / (settings.mean_units * max(1, settings.fall_us))
+        )
         if not rate:
             return math.inf
-        age = max(0, self._started_at - settings.fall_us - node.launched, node.last_sent_at - node.launched)
+        age = max(
+            0, self._started_at - settings.fall_us - node.launched_us, node.last_sent_at - node.launched_us
+        )
         turns_passed = rate * age * (1 + growth * age / 2)
         # The order of the gateways differs between nodes, and between starts of a node.
-        place = (shares.position + zlib.crc32(f"{node.name} {node.launched}".encode())) % shares.gateways + 1
+        place = (
+            shares.position + zlib.crc32(f"{node.name} {node.launched_us}".encode())
+        ) % shares.gateways + 1
         first_turn = place * shares.contenders / shares.gateways
         round_ = max(0, math.ceil((turns_passed - first_turn) / shares.contenders))
         turn_age = (first_turn + round_ * shares.contenders) / rate
         if growth:
             turn_age = (math.sqrt(1 + 2 * growth * turn_age) - 1) / growth
-        return node.launched + math.ceil(min(turn_age, settings.cold_us + settings.fall_us))
+        return node.launched_us + math.ceil(min(turn_age, settings.cold_us + settings.fall_us))
--- a/stackrouter/__main__.py
+++ b/stackrouter/__main__.py
@@ -30,11 +30,11 @@
     StartSystemError,
     StoppingError,
     VariableError,
-    tell,
+    log_error,
 )
-from stackrouter.fronts.platform.client import BUSY, PATIENCE, Names, PlatformSession
-from stackrouter.fronts.sftp.client import PATIENCE as SFTP_PATIENCE
-from stackrouter.fronts.sftp.client import SftpSession, Shared
+from stackrouter.fronts.platform.client import BUSY, CLIENT_TIMEOUTS, PlatformSession, RequestContext
+from stackrouter.fronts.sftp.client import CLIENT_TIMEOUTS as SFTP_CLIENT_TIMEOUTS
+from stackrouter.fronts.sftp.client import SftpContext, SftpSession
 from stackrouter.fronts.sftp.config import SftpConfig
 from stackrouter.membership.listing import Listing
 from stackrouter.net.admin import Admin
@@ -45,13 +45,13 @@
 from stackrouter.ops.retune import BIND_DELAY_S, merge
 
 if TYPE_CHECKING:
-    from stackrouter.edge.wiring import Extras
+    from stackrouter.edge.wiring import OptionalParts
     from stackrouter.sharing.buckets import SharedBuckets
-    from stackrouter.sharing.socket_limits import ProcessRooms
+    from stackrouter.sharing.socket_limits import ProcessSocketLimits
 
 STOP_DELAY_S = 0.5  # clients still connect for a while after SIGTERM; listeners must be closed before 0.7 s
 FINISH_STEP_S = 0.02
-PROCESS_POLL_S = 0.05  # sharing.mode.IDLE_LOOK_US: how soon an idle process notices another one
+PROCESS_POLL_S = 0.05  # sharing.mode.IDLE_SCAN_INTERVAL_US: how soon an idle process notices another one
 SFTP_SOCKET_DIVISOR = 4  # one in 4 client sockets is reserved for the SFTP front, if it is enabled
 DEFAULT_TMP_DIR = "/tmp"  # if TMPDIR is not set
 EXIT_CONFIG = 2
@@ -70,7 +70,7 @@
         limits = shared[0] if shared else None
         self.engine = Engine(config.settings, config.max_open, self.counters, shared=limits)
         self.pool = Pool(config.node_sockets, config.answer_bytes, config.connect_timeout_us,
-                         config.keepalive_us, self.counters, self.engine.ended, self.engine.gate,
+                         config.keepalive_us, self.counters, self.engine.attempt_ended, self.engine.gate,
                          self.engine.violations)  # fmt: skip
         self.engine.transport = self.pool
         self.pool.written = self.engine.written
@@ -79,7 +79,7 @@
             known = listing.read(config.known, clock_us())
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise ConfigValueError(f"{type(error).__name__}: {error}", key="known") from None
-        self.discovery = Discovery(config.discovery, listing, self.counters, self.engine.listed,
+        self.discovery = Discovery(config.discovery, listing, self.counters, self.engine.update_nodes,
                                    known.version if known.entries else None, config.settings.seed,
                                    config.settings.gateways, not config.settings.list_on_request)  # fmt: skip
         self.engine.fetch_list = self.discovery.refetch
@@ -87,7 +87,7 @@
         gevent.spawn(self.engine.run)
         gevent.spawn(self.discovery.run)
         self.drain = Drain()  # set by the admin calls standby and active, reported to the front by PING
-        self.names = names = Names(
+        self.names = names = RequestContext(
             config.classes, config.plans, config.settings, config.shards, drain=self.drain
         )
         new_session: Callable[..., Session] = partial(PlatformSession, self.engine, names, self.counters)
@@ -97,7 +97,7 @@
                 0,
                 self.counters,
                 new_session,
-                PATIENCE,
+                CLIENT_TIMEOUTS,
                 BUSY,
                 config.listen_fd,
                 self.drain,
@@ -105,14 +105,14 @@
             )
         ]
         if sftp is not None:
-            new_session = partial(SftpSession, Shared(sftp, self.engine, self.counters))
+            new_session = partial(SftpSession, SftpContext(sftp, self.engine, self.counters))
             self.listeners.append(
                 Listener(
                     sftp.listen,
                     0,
                     self.counters,
                     new_session,
-                    SFTP_PATIENCE,
+                    SFTP_CLIENT_TIMEOUTS,
                     b"",
                     drain=self.drain,
                     gate=self.engine.gate,
@@ -121,37 +121,39 @@
         self._processes = 1  # number of serving processes of this gateway
         self._apply_limits(config)
         if shared is not None:
-            self.engine.on_sharers_changed = self._apply_process_count
+            self.engine.on_process_count_changed = self._apply_process_count
             gevent.spawn(self._poll_processes, shared[1])
         self._terminated = Event()
         self.admin = Admin(config.admin, self.answer) if config.admin else None
-        self.extras: Extras | None = None  # features that the operator's file turns on
+        self.extras: OptionalParts | None = None  # features that the operator's file turns on
         self._bind_timer: gevent.Greenlet[..., None] | None = None  # binds class names after a SIGHUP
 
     def _apply_limits(self, config: Config) -> None:
         """Applies this process's part of the gateway's memory and sockets, which its processes share."""
         self.config = config
         self.engine.max_open = config.max_open // self._processes
-        self.pool.budget.most = config.answer_bytes // self._processes
+        self.pool.budget.max_bytes = config.answer_bytes // self._processes
         self._apply_socket_limits(config.client_sockets, config.node_sockets)
 
     def _apply_socket_limits(self, clients: int, nodes: int) -> None:
-        self.pool.most = nodes
+        self.pool.max_sockets = nodes
         # The clients of the SFTP front share the same socket budget.
         sftp_sockets = clients // SFTP_SOCKET_DIVISOR if len(self.listeners) > 1 else 0
-        for listener, most in zip(self.listeners, (clients - sftp_sockets, sftp_sockets), strict=False):
-            listener.most = most
+        for listener, max_clients in zip(
+            self.listeners, (clients - sftp_sockets, sftp_sockets), strict=False
+        ):
+            listener.max_clients = max_clients
 
     def _apply_process_count(self, processes: int) -> None:
         self._processes = processes
         self._apply_limits(self.config)
 
-    def _poll_processes(self, rooms: ProcessRooms) -> None:
+    def _poll_processes(self, rooms: ProcessSocketLimits) -> None:
         """Polls for other processes of this gateway, and applies the sockets that they leave to this one."""
         while True:
             clients = sum(listener.held() for listener in self.listeners)
             config = self.config
-            self._apply_socket_limits(*rooms.most(
+            self._apply_socket_limits(*rooms.allowed(
                 (config.client_sockets, clients), (config.node_sockets, self.pool.held())
             ))  # fmt: skip
             gevent.sleep(PROCESS_POLL_S)
@@ -165,14 +167,14 @@
                                              self.names.classes, config.writes_stated)  # fmt: skip
         except ConfigError as error:
             self.counters.add("reloads.failed")
-            tell(logger, error, "keeping the old configuration")
+            log_error(logger, error, "keeping the old configuration")
             return
         self.counters.add("reloads.done")
         self._apply_limits(config)
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
         if self.extras is not None and self.extras.policy_in_force():
             what = "settings of the file are ignored: a policy of the fleet is in force"
-            tell(logger, PolicyInForceError(what))
+            log_error(logger, PolicyInForceError(what))
             return
         self._retune(settings, bound, unknown)
         logger.info(
@@ -196,7 +198,7 @@
         once, and every name gets its new rules BIND_DELAY_S later, when clients begin to use them."""
         self.engine.retune(settings)
         self.names.settings = settings
-        self.names.unchecked |= unknown
+        self.names.classes_without_write_flag |= unknown
         self.names.classes.update(
             {name: index for name, index in bound.items() if name not in self.names.classes}
         )
@@ -219,9 +221,9 @@
         now = time.monotonic()
         if call == "status":
             if self._terminated.is_set():
-                return f"FAILURE {StoppingError('stopping').coded()}"
+                return f"FAILURE {StoppingError('stopping').with_code()}"
             if self.extras is not None and (why := self.extras.not_ready()):
-                return f"FAILURE {NotReadyError(why).coded()}"
+                return f"FAILURE {NotReadyError(why).with_code()}"
             return f"SUCCESS {self.drain.status(now)}"
         if call == "standby":
             began = self.drain.standby(now)
@@ -240,20 +242,20 @@
             return self.extras.policy_call(call)
         if call == "control status" and self.extras is not None:
             return self.extras.control_status()
-        return f"FAILURE {DoorCallError(f'{call[:40]!r}: not a call of this gateway').coded()}"
+        return f"FAILURE {DoorCallError(f'{call[:40]!r}: not a call of this gateway').with_code()}"
 
     def print_counters(self) -> None:
         """Prints the counters to standard error as one line of JSON."""
         print(self.counters.line(), file=sys.stderr, flush=True)
         if self.extras is not None:
-            self.extras.print_figures()
+            self.extras.print_summary()
 
     def serve(self) -> None:
         """Serves until a stop is requested; returns once all requests taken by then are answered."""
         self._terminated.wait()
         self.engine.stop()
         if self.extras is not None:
-            self.extras.leave()
+            self.extras.release_duties()
         gevent.sleep(STOP_DELAY_S)
         for listener in self.listeners:
             listener.stop()
@@ -267,7 +269,9 @@
             gevent.sleep(FINISH_STEP_S)
 
 
-def open_shared_limits(config: Config, counters: Counters) -> tuple[SharedBuckets, ProcessRooms] | None:
+def open_shared_limits(
+    config: Config, counters: Counters
+) -> tuple[SharedBuckets, ProcessSocketLimits] | None:
     """Opens the limits and socket budgets shared with other processes of this gateway. Returns None if the
     listening socket is not inherited: then there are no other processes.
 
@@ -279,16 +283,16 @@
     from stackrouter.sharing.buckets import SharedBuckets
     from stackrouter.sharing.log_file import SharedFile
     from stackrouter.sharing.presence import SocketPresence
-    from stackrouter.sharing.socket_limits import ProcessRooms
+    from stackrouter.sharing.socket_limits import ProcessSocketLimits
 
     folder = os.environ.get("TMPDIR") or DEFAULT_TMP_DIR
     log_file = SharedFile(folder, config.name, config.listen_fd)
     presence = SocketPresence(config.listen_fd)
     buckets = SharedBuckets(config.settings, presence, log_file, counters, clock_us)
-    return buckets, ProcessRooms(presence)
+    return buckets, ProcessSocketLimits(presence)
 
 
-def load_extras(config: Config) -> Extras | None:
+def load_extras(config: Config) -> OptionalParts | None:
     """Loads the features that the operator's file turns on; without a file their modules aren't imported."""
     if os.environ.get("GW_SFTP"):
         what = "is no more supported: set GW_EDGE to a file like deploy/edge.txtpb, with a section sftp"
@@ -296,9 +300,9 @@
     path = os.environ.get("GW_EDGE")
     if not path:
         return None
-    from stackrouter.edge.wiring import Extras
+    from stackrouter.edge.wiring import OptionalParts
 
-    return Extras(path, config)
+    return OptionalParts(path, config)
 
 
 def main() -> int:
@@ -321,7 +325,7 @@
             gateway.extras = extras
     except (StackrouterError, OSError) as error:
         startup_error = error if isinstance(error, StackrouterError) else StartSystemError(error)
-        print(f"stackrouter: {startup_error.whole()}", file=sys.stderr)
+        print(f"stackrouter: {startup_error.one_line()}", file=sys.stderr)
         return EXIT_CONFIG
     gevent.signal_handler(signal.SIGTERM, gateway.terminate)
     gevent.signal_handler(signal.SIGINT, gateway.terminate)
--- a/stackrouter/accounts/report.py
+++ b/stackrouter/accounts/report.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Usual:
+class UsualRates:
     """Plans with the rates that their volumes are sized for, classes, and units of the largest request."""
 
     plans: tuple[tuple[str, float], ...]  # name, usual units per second
@@ -27,7 +27,7 @@
     largest_units: float
 
 
-def learn_baselines(usual: Usual, stream: Stream) -> dict[str, NodeBaseline]:
+def learn_baselines(usual: UsualRates, stream: Stream) -> dict[str, NodeBaseline]:
     """Baselines of all nodes, from the first facts of the stream."""
     accounts = Accounts(_usual_rates(usual), usual.largest_units, lambda at, request, split, charges: None)
     for gateway, fact in islice(stream, BASELINE_FACTS):
@@ -35,8 +35,8 @@
     return {node: ledger.baseline() for node, ledger in accounts.ledgers.items()}
 
 
-def read(usual: Usual, open_stream: Callable[[], Stream], pairs: int = DEFAULT_PAIRS,
-         each: Callable[[int], None] = lambda count: None) -> Book:  # fmt: skip
+def account_for(usual: UsualRates, open_stream: Callable[[], Stream], pairs: int = DEFAULT_PAIRS,
+                each: Callable[[int], None] = lambda count: None) -> Book:  # fmt: skip
     """Account for all facts. `open_stream` is called twice; `each` is passed the number of facts read."""
     book = Book(pairs)
     accounts = Accounts(
@@ -51,16 +51,16 @@
     return book
 
 
-def _usual_rates(usual: Usual) -> list[float]:
+def _usual_rates(usual: UsualRates) -> list[float]:
     return [rate for _, rate in usual.plans]
 
 
-def figures(book: Book, usual: Usual, most: int = 50) -> dict[str, Any]:
+def figures(book: Book, usual: UsualRates, max_rows: int = 50) -> dict[str, Any]:
     """The sums as plain values, with the names of plans and classes."""
-    return book.figures([name for name, _ in usual.plans], list(usual.classes), most)
+    return book.figures([name for name, _ in usual.plans], list(usual.classes), max_rows)
 
 
-def same(usuals: Iterable[Usual]) -> Usual:
+def common_settings(usuals: Iterable[UsualRates]) -> UsualRates:
     """The common settings of all traces. Raises MixedTracesError if they differ."""
     found = set(usuals)
     if len(found) != 1:
--- a/stackrouter/capacity/events.py
+++ b/stackrouter/capacity/events.py
@@ -99,12 +99,12 @@
 
 
 SNAPSHOT_RATE = (
-    f"{LIMITS.snapshots_at_once} snapshots at a time and {LIMITS.snapshot_bytes_s // MIB} MiB/s "
+    f"{LIMITS.max_snapshot_transfers} snapshots at a time and {LIMITS.snapshot_bytes_s // MIB} MiB/s "
     "of them a replica"
 )
 BACKOFF = (
-    f"full-jitter backoff from {OBSERVER_TIMES.backoff_base / 1e6} to "
-    f"{OBSERVER_TIMES.backoff_most / 1e6:.0f} s a gateway"
+    f"full-jitter backoff from {OBSERVER_TIMES.backoff_base_us / 1e6} to "
+    f"{OBSERVER_TIMES.backoff_max_us / 1e6:.0f} s a gateway"
 )
 
 
@@ -150,8 +150,8 @@
         "the voter that asks discovery, through the log; then every replica",
         f"{_format_estimate(list_ms, 'ms')} to the last gateway for a small change; one of this size at this "
         f"number of gateways: {NOT_MEASURED}",
-        f"a reader with over {LIMITS.most_queued_bytes // MIB} MiB waiting is cut and resumes; a change over "
-        f"{LIMITS.most_delta_bytes // 1024} KiB is sent as a snapshot",
+        f"a reader with over {LIMITS.max_queued_bytes // MIB} MiB waiting is cut and resumes; a change over "
+        f"{LIMITS.max_delta_bytes // 1024} KiB is sent as a snapshot",
     )
 
 
@@ -173,8 +173,8 @@
     validity_s = (RULES.validity_us - RULES.max_drift_us) / 1e6
     return Event(
         f"a region cut off for an hour: {format_number(REGION_GATEWAYS)} gateways",
-        f"heartbeats without answers; after {OBSERVER_TIMES.silence / 1e6:.0f} s each gateway hangs up and "
-        "tries the next",
+        f"heartbeats without answers; after {OBSERVER_TIMES.silence_timeout_us / 1e6:.0f} s each gateway "
+        "hangs up and tries the next",
         "its gateways",
         f"`refuse`: no new request {validity_s} s after the last answered heartbeat was sent, for the whole "
         "hour; `serve`: on under the last version",
@@ -184,7 +184,7 @@
 
 def _region_back(snapshot: Estimate | None) -> Event:
     missed_changes = targets.rate_s(targets.POLICY_CHANGES_DAY) * 3600
-    resume_kib = LIMITS.most_resume_bytes // 1024
+    resume_kib = LIMITS.max_resume_bytes // 1024
     return Event(
         f"the region back after an hour and {format_number(missed_changes)} policy changes",
         f"what was missed: up to {resume_kib} KiB as changes, more as a snapshot: "
@@ -208,7 +208,7 @@
 
 
 def _all_replicas() -> Event:
-    max_s = (2 * ELECTION_MS / 1000) + OBSERVER_TIMES.backoff_most / 1e6
+    max_s = (2 * ELECTION_MS / 1000) + OBSERVER_TIMES.backoff_max_us / 1e6
     return Event(
         "all control replicas restarted",
         f"{targets.GATEWAYS:,} Hellos; who has the newest number gets no snapshot, all others one",
--- a/stackrouter/capacity/gateway_rows.py
+++ b/stackrouter/capacity/gateway_rows.py
@@ -18,15 +18,15 @@
 from stackrouter.capacity.rows import BUILT, MISSING, PARTLY, Row, computed, estimate_at_target, row
 from stackrouter.capacity.scale import ScaleRun
 from stackrouter.capacity.slopes import Slopes
-from stackrouter.config import CLIENT_PART, SPARE_SOCKETS
-from stackrouter.fronts.platform.client import PATIENCE
-from stackrouter.net.list_call import LARGEST_ANSWER_BYTES
-from stackrouter.net.listener import PRESSED_PART
+from stackrouter.config import CLIENT_SHARE, RESERVED_SOCKETS
+from stackrouter.fronts.platform.client import CLIENT_TIMEOUTS
+from stackrouter.net.list_call import MAX_ANSWER_BYTES
+from stackrouter.net.listener import EARLY_CLOSE_FRACTION
 
 
 def client_sockets(clients: float) -> float:
     """The setting limits.sockets at which so many idle client connections are kept open."""
-    return SPARE_SOCKETS + math.ceil(clients / PRESSED_PART / CLIENT_PART)
+    return RESERVED_SOCKETS + math.ceil(clients / EARLY_CLOSE_FRACTION / CLIENT_SHARE)
 
 
 def gateway(slopes: Slopes, runs: Sequence[ScaleRun]) -> list[Row]:
@@ -80,7 +80,7 @@
             "MiB",
             PARTLY,
             f"the mean one asks every {format_number(CLIENTS / REQUESTS_S)} s, and one that rests for "
-            f"{PATIENCE.idle_s} s is closed: a longer setting is missing",
+            f"{CLIENT_TIMEOUTS.idle_s} s is closed: a longer setting is missing",
         ),
         row(
             f"{format_number(REQUESTS_S * REQUEST_AIM_S)} of them with an open request "
@@ -91,7 +91,7 @@
         ),
         row(
             "sockets to state in `limits`, for clients alone",
-            computed(sockets, f"clients / {PRESSED_PART} / {CLIENT_PART} + {SPARE_SOCKETS}"),
+            computed(sockets, f"clients / {EARLY_CLOSE_FRACTION} / {CLIENT_SHARE} + {RESERVED_SOCKETS}"),
             "",
             BUILT,
         ),
@@ -133,7 +133,7 @@
         None
         if whole_list is None
         else computed(
-            LARGEST_ANSWER_BYTES / 1024 / whole_list.value * targets.NODES,
+            MAX_ANSWER_BYTES / 1024 / whole_list.value * targets.NODES,
             "4 MiB that a gateway reads at most / KiB a node",
         )
     )
--- a/stackrouter/capacity/load.py
+++ b/stackrouter/capacity/load.py
@@ -4,17 +4,17 @@
 
 from stackrouter.capacity import targets
 from stackrouter.controlplane.replica import ReplicaLimits
-from stackrouter.coord.policy import Rules
-from stackrouter.net.discovery import WAIT_US
+from stackrouter.coord.policy import HeartbeatRules
+from stackrouter.net.discovery import WATCH_WAIT_US
 
 MAX_LOOP_HOLD_MS = (
     10.0  # longest time that applying a list or a policy may block the event loop (issue 39, part D)
 )
 LIMITS = ReplicaLimits()
-RULES = Rules(validity_us=2_000_000, max_drift_us=200_000)  # defaults of `control` (edge/edge.proto)
+RULES = HeartbeatRules(validity_us=2_000_000, max_drift_us=200_000)  # defaults of `control` (edge/edge.proto)
 HEARTBEATS_S = 1e6 / RULES.heartbeat_every_us  # of one gateway
 DISCOVERY_CALL_S = 0.13  # discovery's own time for a call that asks for changes (docs/design/large-fleet.md)
-DISCOVERY_INTERVAL_S = WAIT_US / 1e6
+DISCOVERY_INTERVAL_S = WATCH_WAIT_US / 1e6
 BUCKET_REFILL_S = (
     2.0  # refill time of a bucket with the settings of tests/gateway.py: 40 units at 20 a second
 )
--- a/stackrouter/capacity/measure/__main__.py
+++ b/stackrouter/capacity/measure/__main__.py
@@ -18,7 +18,7 @@
     try:
         print(json.dumps(find_measurement(sys.argv[1]).task(int(sys.argv[2]))))
     except StackrouterError as error:
-        print(error.whole(), file=sys.stderr)
+        print(error.one_line(), file=sys.stderr)
         return 1
     return 0
 
--- a/stackrouter/capacity/measure/connections.py
+++ b/stackrouter/capacity/measure/connections.py
@@ -14,9 +14,9 @@
 from stackrouter.errors import MeasureError
 from stackrouter.fronts.platform import resp
 from stackrouter.standins.discovery import StandinDiscovery, entry
-from stackrouter.standins.node import Nature, StandinNode
+from stackrouter.standins.node import NodeBehavior, StandinNode
 
-FAST_NODE = Nature(cores=4, unit_s=0.0005, put_off=0.0, pause_every_s=None)
+FAST_NODE = NodeBehavior(cores=4, unit_s=0.0005, deferred_share=0.0, pause_every_s=None)
 NODES = 3
 CLIENT_CONNECTIONS = 64  # where the request rate is varied
 PING_GREENLETS = 8  # greenlets that send PING
--- a/stackrouter/capacity/measure/lists.py
+++ b/stackrouter/capacity/measure/lists.py
@@ -130,14 +130,14 @@
     )  # fmt: skip
     engine = Engine(settings, 1000, Counters())
     listing = Listing(["hall-a", "hall-b", "hall-c"], ["std"], clock_us())
-    discovery = Discovery(("127.0.0.1", 1), listing, Counters(), engine.listed, known=0, pushed=True)
+    discovery = Discovery(("127.0.0.1", 1), listing, Counters(), engine.update_nodes, known=0, pushed=True)
 
     def settled() -> None:
         while not engine.idle():
-            engine.turn()
+            engine.process_events()
 
     items = endpoints(nodes)
-    discovery.follow({"index": 1, "snapshot": True, "endpoints": items})
+    discovery.apply_relayed({"index": 1, "snapshot": True, "endpoints": items})
     settled()
     longest, began = 0.0, time.process_time()
     for n in range(CHANGES):
@@ -145,7 +145,7 @@
         item["status"] = "up" if item["status"] == "draining" else "draining"
         answer = json.loads(body(n + 2, False, [item]))
         started = time.perf_counter()
-        discovery.follow(answer)
+        discovery.apply_relayed(answer)
         settled()
         longest = max(longest, time.perf_counter() - started)
     cpu_s = time.process_time() - began
--- a/stackrouter/capacity/measure/process.py
+++ b/stackrouter/capacity/measure/process.py
@@ -21,8 +21,8 @@
 STOP_S = 8.0
 PING = b"*1\r\n$4\r\nPING\r\n"
 PONG = b"+PONG\r\n"
-SPARE_SOCKETS = 32  # descriptors that a gateway reserves (stackrouter/config.py)
-CLIENT_PART = 0.6 * 0.45  # part of the rest up to which idle client connections are not closed
+RESERVED_SOCKETS = 32  # descriptors that a gateway reserves (stackrouter/config.py)
+EARLY_CLOSE_CLIENT_SHARE = 0.6 * 0.45  # part of the rest up to which idle client connections are not closed
 
 
 def cpu_ms(pid: int) -> float:
@@ -38,7 +38,7 @@
 
 def sockets_for(clients: int) -> int:
     """The limit `sockets` with which a gateway keeps so many idle client connections."""
-    return SPARE_SOCKETS + int(clients / CLIENT_PART) + 64
+    return RESERVED_SOCKETS + int(clients / EARLY_CLOSE_CLIENT_SHARE) + 64
 
 
 class GatewayProcess:
--- a/stackrouter/capacity/measure/replica.py
+++ b/stackrouter/capacity/measure/replica.py
@@ -14,7 +14,7 @@
 
 from stackrouter.capacity import targets
 from stackrouter.capacity.measure.lists import endpoints
-from stackrouter.controlplane.codec import MOST_TO_REPLICA, FrameDecoder, encode
+from stackrouter.controlplane.codec import MAX_TO_REPLICA_BYTES, FrameDecoder, encode
 from stackrouter.controlplane.conversion import node_message, position_message
 from stackrouter.controlplane.frames_pb2 import (
     Delta,
@@ -34,7 +34,7 @@
     Write,
 )
 from stackrouter.controlplane.snapshot import ReplicatedState, Snapshot, SnapshotAssembler
-from stackrouter.coord.policy import Rules
+from stackrouter.coord.policy import HeartbeatRules
 from stackrouter.coord.port import LogPosition
 from stackrouter.errors import MeasureError
 
@@ -44,8 +44,8 @@
 SIMULATED_S = 3
 GATEWAYS = targets.GATEWAYS // targets.REPLICAS  # connected to the replica where other quantities are varied
 POLICY_BYTES = 8 * 1024
-LIMITS = ReplicaLimits(most_gateways=20_000, most_unknown=20_000)
-RULES = Rules(validity_us=2_000_000, max_drift_us=200_000)  # defaults of `control`
+LIMITS = ReplicaLimits(most_gateways=20_000, max_unidentified=20_000)
+RULES = HeartbeatRules(validity_us=2_000_000, max_drift_us=200_000)  # defaults of `control`
 HEARTBEAT_MS = RULES.heartbeat_every_us / 1000
 
 
@@ -60,7 +60,7 @@
     """A gateway as its replica sees it; its frames can be encoded before the timed part."""
 
     name: str
-    decoder: FrameDecoder = field(default_factory=lambda: FrameDecoder(MOST_TO_REPLICA))
+    decoder: FrameDecoder = field(default_factory=lambda: FrameDecoder(MAX_TO_REPLICA_BYTES))
     sequence: int = 0
 
     def hello(self, number: int) -> bytes:
@@ -110,7 +110,7 @@
                 position = self._state.position
                 self._apply(self.machine.barrier_confirmed(barrier, position, self.now_us))
             while self._written:
-                self._apply(self.machine.queued(self._written.pop(), 0, self.now_us))
+                self._apply(self.machine.unsent_bytes_changed(self._written.pop(), 0, self.now_us))
             if self.machine.next_at() <= self.now_us:
                 self._apply(self.machine.tick(self.now_us))
 
--- a/stackrouter/capacity/measure/requests.py
+++ b/stackrouter/capacity/measure/requests.py
@@ -25,9 +25,9 @@
         self._engine = engine
 
     def start(self, attempt: Attempt) -> None:
-        self._engine.ended(attempt, Reply(Outcome.DONE, b"x"))
+        self._engine.attempt_ended(attempt, Reply(Outcome.DONE, b"x"))
 
-    def give_up(self, attempt: Attempt) -> None:
+    def abort(self, attempt: Attempt) -> None:
         pass
 
     def close_idle(self, node: str) -> None:
@@ -58,7 +58,7 @@
             answer=self._answer, wire="x",
         ))  # fmt: skip
         while not self._engine.idle():
-            self._engine.turn()
+            self._engine.process_events()
 
     def _answer(self, _: object) -> None:
         self.answered += 1
@@ -76,9 +76,9 @@
     engine = Engine(settings, 100_000, Counters())
     engine.transport = InstantTransport(engine)
     entries = [NodeEntry(f"s-{i:08x}", shard=i) for i in range(nodes)]
-    engine.listed(ListKind.FULL, 1, entries, {entry.node: ADDRESS for entry in entries})
+    engine.update_nodes(ListKind.FULL, 1, entries, {entry.node: ADDRESS for entry in entries})
     while not engine.idle():
-        engine.turn()
+        engine.process_events()
     return engine
 
 
--- a/stackrouter/capacity/parts.py
+++ b/stackrouter/capacity/parts.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from rackseam.slow_start import CONTENDERS_MEMORY_US, LEAST_COLD_SHARE, TURNS_PART
+from rackseam.slow_start import CONTENDERS_WINDOW_US, MIN_COLD_SHARE, TURNS_BUDGET_FRACTION
 from stackrouter.capacity import targets
 from stackrouter.capacity.estimate import format_number
 from stackrouter.capacity.even_parts import LIMITED, SETTINGS, max_gateways, simulate_request
@@ -58,21 +58,22 @@
 
 def requested_part() -> float:
     """Part of all nodes for which a gateway gets a request within the time that the module remembers one."""
-    requests_per_node = REQUESTS_S * CONTENDERS_MEMORY_US / 1e6 / targets.NODES
+    requests_per_node = REQUESTS_S * CONTENDERS_WINDOW_US / 1e6 / targets.NODES
     return 1 - math.exp(-requests_per_node)
 
 
 def cold_turns() -> float:
     """Turns of one mean request each, over all gateways, from a node's start until it counts as warm."""
-    pace = TURNS_PART * SETTINGS.cold_bears_units / (SETTINGS.mean_units * SETTINGS.fall_us)
-    growth = (1 / max(SETTINGS.cold_share, LEAST_COLD_SHARE) - 1) / SETTINGS.cold_us
+    pace = TURNS_BUDGET_FRACTION * SETTINGS.cold_bears_units / (SETTINGS.mean_units * SETTINGS.fall_us)
+    growth = (1 / max(SETTINGS.cold_share, MIN_COLD_SHARE) - 1) / SETTINGS.cold_us
     return pace * SETTINGS.cold_us * (1 + growth * SETTINGS.cold_us / 2)
 
 
 def _cold() -> list[PartRow]:
     contenders = requested_part() * targets.GATEWAYS
     even_units = max(
-        SETTINGS.cold_bears_units / targets.GATEWAYS, SETTINGS.cold_bears_units * TURNS_PART / contenders
+        SETTINGS.cold_bears_units / targets.GATEWAYS,
+        SETTINGS.cold_bears_units * TURNS_BUDGET_FRACTION / contenders,
     )
     wanted_requests = NODE_REQUESTS_S * SETTINGS.cold_us / 1e6
     return [
--- a/stackrouter/capacity/replica_rows.py
+++ b/stackrouter/capacity/replica_rows.py
@@ -273,10 +273,10 @@
             "KiB",
             BUILT,
         ),
-        row("retained changes", computed(LIMITS.most_log_bytes / (1 << 20), "its limit"), "MiB", BUILT),
+        row("retained changes", computed(LIMITS.max_log_bytes / (1 << 20), "its limit"), "MiB", BUILT),
         row(
             "bytes that wait for one slow gateway",
-            computed(LIMITS.most_queued_bytes / (1 << 20), "its limit"),
+            computed(LIMITS.max_queued_bytes / (1 << 20), "its limit"),
             "MiB",
             BUILT,
         ),
--- a/stackrouter/capacity/reuse.py
+++ b/stackrouter/capacity/reuse.py
@@ -13,7 +13,7 @@
 import random
 from dataclasses import dataclass
 
-IDLE_PART = 0.4  # as in net/pool.py; tests/test_capacity.py checks that both are equal
+IDLE_REUSE_FRACTION = 0.4  # as in net/pool.py; tests/test_capacity.py checks that both are equal
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
 def simulate(rate_s: float, service_s: float, keepalive_s: float, attempts: int, seed: int) -> Reuse:
     """Simulate `attempts` attempts of one gateway at one node, `rate_s` a second."""
-    rng, keep_s = random.Random(seed), keepalive_s * IDLE_PART
+    rng, keep_s = random.Random(seed), keepalive_s * IDLE_REUSE_FRACTION
     idle: list[float] = []  # time since when each is idle, oldest first
     busy: list[float] = []  # heap of the times at which attempts end
     now = held_s = 0.0
@@ -50,5 +50,5 @@
 def expected_share(rate_s: float, service_s: float, keepalive_s: float) -> float:
     """The share that the model approaches where attempts hardly ever overlap: the probability that the next
     attempt arrives after the connection is free and before it is closed."""
-    keep_s = keepalive_s * IDLE_PART
+    keep_s = keepalive_s * IDLE_REUSE_FRACTION
     return math.exp(-rate_s * service_s) - math.exp(-rate_s * (service_s + keep_s))
--- a/stackrouter/capacity/slopes.py
+++ b/stackrouter/capacity/slopes.py
@@ -103,7 +103,7 @@
     return slopes
 
 
-def merged(path: Path, newer: Slopes) -> Slopes:
+def merge_with_file(path: Path, newer: Slopes) -> Slopes:
     """The series of the file, with those of the same name replaced by `newer`.
 
     CapacityFileError if commit or machine differ: one file has one of each."""
--- a/stackrouter/cli/bench.py
+++ b/stackrouter/cli/bench.py
@@ -165,7 +165,7 @@
     with progress_bar("measuring", 1.0) as progress:
         measured = measure(chosen, progress.update)
     if only and file.exists():
-        measured = slopes.merged(file, measured)
+        measured = slopes.merge_with_file(file, measured)
     slopes.write(file, measured)
     out.print(f"{len(measured.series)} series written to {file}")
 
--- a/stackrouter/cli/demo.py
+++ b/stackrouter/cli/demo.py
@@ -74,7 +74,7 @@
 def _run_until_stopped(fleet: StandinFleet, seconds: float, stop: list[int], as_json: bool) -> None:
     import gevent
 
-    clients = fleet.play()
+    clients = fleet.start_clients()
     end_s = time.monotonic() + seconds if seconds else float("inf")
     previous_counts: dict[str, int] = {}
     if as_json or not out.is_terminal:
@@ -84,7 +84,8 @@
     with Live(console=out, auto_refresh=False, screen=False) as live:
         while not stop and time.monotonic() < end_s:
             counts = {
-                habits.volume: sum(clients.told[habits.volume].verdicts.values()) for habits in fleet.habits
+                load.volume: sum(clients.results[load.volume].verdicts.values())
+                for load in fleet.volume_loads
             }
             live.update(_render_tables(fleet, counts, previous_counts), refresh=True)
             previous_counts = counts
@@ -103,16 +104,16 @@
     assert clients is not None
     elapsed = time.monotonic() - clients.began
     volumes = Table("volume", "plan", "asked/s", "p50 ms", "p99 ms", "served", "refused", "failed", box=None)
-    for habits in fleet.habits:
-        results = clients.told[habits.volume]
-        times, begin, end = habits.burst
+    for load in fleet.volume_loads:
+        results = clients.results[load.volume]
+        times, begin, end = load.burst
         bursting = times > 1 and begin <= elapsed < end
         recent = list(results.recent)
         failed = results.verdicts["failed"] + results.verdicts["lost"]
         volumes.add_row(
-            habits.volume,
-            habits.plan,
-            str(counts[habits.volume] - previous_counts.get(habits.volume, 0)),
+            load.volume,
+            load.plan,
+            str(counts[load.volume] - previous_counts.get(load.volume, 0)),
             _percentile(recent, 0.5),
             _percentile(recent, 0.99),
             str(results.verdicts["served"]),
@@ -123,7 +124,11 @@
     nodes = Table("node", "in flight", "served", "rejected", "abandoned", box=None)
     for node in fleet.nodes:
         nodes.add_row(
-            node.name, str(node.inflight), str(node.seen.served), str(node.seen.busy), str(node.seen.gave_up)
+            node.name,
+            str(node.inflight),
+            str(node.stats.served),
+            str(node.stats.busy),
+            str(node.stats.client_closed),
         )
     summary_line = (
         f"{len(fleet.ports)} gateways, {len(fleet.nodes)} nodes, {elapsed:.0f} s; Ctrl-C stops all of it"
@@ -133,31 +138,31 @@
 
 def _figures(fleet: StandinFleet) -> dict[str, Any]:
     assert fleet.clients is not None
-    results = fleet.clients.told
+    results = fleet.clients.results
     return {
         "noisy": fleet.noisy,
         "volumes": [
             {
-                "volume": habits.volume,
-                "plan": habits.plan,
-                "latency_us": round(results[habits.volume].latency_s * 1e6),
+                "volume": load.volume,
+                "plan": load.plan,
+                "latency_us": round(results[load.volume].latency_s * 1e6),
                 **{
-                    verdict: results[habits.volume].verdicts[verdict]
+                    verdict: results[load.volume].verdicts[verdict]
                     for verdict in ("served", "refused", "failed", "lost")
                 },
             }
-            for habits in fleet.habits
+            for load in fleet.volume_loads
         ],
         "nodes": [
             {
                 "node": node.name,
-                "served": node.seen.served,
-                "busy": node.seen.busy,
-                "given_up": node.seen.gave_up,
+                "served": node.stats.served,
+                "busy": node.stats.busy,
+                "given_up": node.stats.client_closed,
             }
             for node in fleet.nodes
         ],
-        "exits": [process.returncode for process in fleet.programs],
+        "exits": [process.returncode for process in fleet.processes],
     }
 
 
--- a/stackrouter/cli/fleet.py
+++ b/stackrouter/cli/fleet.py
@@ -70,10 +70,10 @@
     from stackrouter.fleet.figures import Bounds
     from stackrouter.fleet.options import HarnessOptions
     from stackrouter.fleet.run import run as run_harness
-    from stackrouter.fleet.schedule import DEFAULT, KINDS
+    from stackrouter.fleet.schedule import DEFAULT_KINDS, KINDS
     from stackrouter.fleet.sweep import sweep
 
-    fault_kinds = {"all": DEFAULT, "none": ()}.get(nemesis, tuple(nemesis.split(",")))
+    fault_kinds = {"all": DEFAULT_KINDS, "none": ()}.get(nemesis, tuple(nemesis.split(",")))
     for kind in fault_kinds:
         if kind not in KINDS:
             raise OptionError(f"must be among {', '.join(KINDS)}, all or none, not {kind!r}", key="--nemesis")
@@ -98,7 +98,7 @@
             result = sweep(options, members, seeds, parallel, settings.policy, progress.update).to_json()
     else:
         result = run_harness(settings, logs, rounds).to_json()
-    figures = Bounds.of(settings).judged(result)
+    figures = Bounds.of(settings).with_verdict(result)
     if as_json:
         print_json(figures)
     else:
--- a/stackrouter/cli/main.py
+++ b/stackrouter/cli/main.py
@@ -47,7 +47,7 @@
     try:
         app()
     except StackrouterError as error:
-        print(f"stackrouter: {error.whole()}", file=sys.stderr)
+        print(f"stackrouter: {error.one_line()}", file=sys.stderr)
         sys.exit(2)
     except BrokenPipeError:
         sys.stderr.close()
--- a/stackrouter/cli/model.py
+++ b/stackrouter/cli/model.py
@@ -36,7 +36,7 @@
     trace: Annotated[Path | None, typer.Option(help="Write the trace of all gateways to this file.")] = None,
 ) -> None:
     """Run the simulation once and print one line of JSON."""
-    from stackrouter.model.fleet import play
+    from stackrouter.model.fleet import simulate
     from stackrouter.model.recording import recorders
     from stackrouter.model.traffic import Noisy
 
@@ -55,7 +55,7 @@
                 subscribers = stack.enter_context(recorders(trace, gateways, nodes, seed))
             except OSError as error:
                 raise OutputError(error.strerror, key="--trace", file=trace) from None
-        outcomes = play(
+        outcomes = simulate(
             seed, noisy_kind, not without_noise, gateways, nodes, length_us, subscribers, progress.update
         )
     print_json({**dataclasses.asdict(outcomes), "wall_s": round(time.perf_counter() - started_s, 3)})
@@ -83,7 +83,7 @@
     """Compare fleet-wide limits with an even static split on the same skewed demand, as one line of JSON."""
     from concurrent.futures import ProcessPoolExecutor
 
-    from stackrouter.model.limits import Scene, play
+    from stackrouter.model.limits import Scene, simulate
 
     if not all(part.isdigit() and 2 <= int(part) <= 200 for part in members.split(",")):
         raise OptionError(f"must be comma-separated numbers from 2 to 200, not {members!r}", key="--members")
@@ -92,7 +92,7 @@
               for s in range(seed, seed + runs)]  # fmt: skip
     with progress_bar("model", runs) as progress, ProcessPoolExecutor() as pool:
         results = []
-        for figures in pool.map(play, scenes, chunksize=4):
+        for figures in pool.map(simulate, scenes, chunksize=4):
             results.append(figures)
             progress.update(len(results))
     use_ratios = sorted(f.use_ratio for f in results)
--- a/stackrouter/cli/report.py
+++ b/stackrouter/cli/report.py
@@ -34,12 +34,12 @@
     as_json: AsJson = False,
 ) -> None:
     """Report which volume waited behind which at each node, and which volumes caused the most delay."""
-    from stackrouter.accounts.report import Usual, figures, read, same
+    from stackrouter.accounts.report import UsualRates, account_for, common_settings, figures
     from stackrouter.trace.read import merge
 
     traces = open_trace_files(files)
-    usual = same(
-        Usual(
+    usual = common_settings(
+        UsualRates(
             tuple((p.name, p.usual_units_per_s) for p in run.header.plans),
             run.header.classes,
             run.header.largest_units,
@@ -47,7 +47,7 @@
         for run in traces.runs
     )
     with progress_bar("accounts", traces.count) as progress:
-        book = read(usual, lambda: merge(traces.runs), pairs, progress.update)
+        book = account_for(usual, lambda: merge(traces.runs), pairs, progress.update)
     report = figures(book, usual, most)
     report["problems"] = read_problems(traces)
     report["gateways"] = sorted({run.header.gateway for run in traces.runs})
--- a/stackrouter/cli/soak.py
+++ b/stackrouter/cli/soak.py
@@ -36,7 +36,7 @@
             raise OptionError(f"must be among {', '.join(KINDS)}, all or none, not {kind!r}", key="--faults")
     # Handle SIGTERM like Ctrl-C, so that the child processes are terminated on exit.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
-    result = Soak(SoakOptions(gateways, nodes, seed, seconds, fault_kinds, requests, planted), logs).play()
+    result = Soak(SoakOptions(gateways, nodes, seed, seconds, fault_kinds, requests, planted), logs).run()
     if not as_json:
         for name, value in result.as_json().items():
             out.print(f"{name:>14}  {value}", soft_wrap=True, markup=False)
--- a/stackrouter/cli/trace.py
+++ b/stackrouter/cli/trace.py
@@ -50,7 +50,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Summarize traces. Exit code 1: some blocks could not be read."""
-    from stackrouter.trace.read import merge, shift_us
+    from stackrouter.trace.read import merge, wall_clock_offset_us
 
     traces = open_trace_files(files)
     rows: list[dict[str, Any]] = []
@@ -60,7 +60,7 @@
         for fact in run.read():
             kinds[type(fact).__name__.lower()] += 1
             first, last = (fact.at if first < 0 else first), fact.at
-        offset_us = shift_us(run.header)
+        offset_us = wall_clock_offset_us(run.header)
         rows.append(
             {
                 "gateway": run.header.gateway,
@@ -134,25 +134,25 @@
 ) -> None:
     """Copy a time range of traces to a new file; damaged blocks are omitted."""
     from stackrouter.trace.codec import encode
-    from stackrouter.trace.format import Place, pack, pack_index
-    from stackrouter.trace.read import shift_us
+    from stackrouter.trace.format import BlockPosition, pack, pack_index
+    from stackrouter.trace.read import wall_clock_offset_us
 
     if any(output.resolve() == file.resolve() for file in files):
         raise OutputError("is one of the files to read", file=output)
     traces = open_trace_files(files)
-    starts = [next(run.read()).at + shift_us(run.header) for run in traces.runs]
+    starts = [next(run.read()).at + wall_clock_offset_us(run.header) for run in traces.runs]
     begin_us = min(starts) + round(since * 1e6)
     end_us = min(starts) + round(until * 1e6) if until else 1 << 62
-    places: list[Place] = []
+    places: list[BlockPosition] = []
     written = 0
     try:
         with output.open("wb") as file:
             for run in traces.runs:
-                offset_us, first = shift_us(run.header), 0
+                offset_us, first = wall_clock_offset_us(run.header), 0
                 batch = []
 
                 def flush(run: Any, batch: list[Any], first: int) -> int:
-                    places.append(Place(file.tell(), first))
+                    places.append(BlockPosition(file.tell(), first))
                     file.write(pack(encode(run.header, first, run.left_out, batch), first))
                     return first + len(batch)
 
--- a/stackrouter/config.py
+++ b/stackrouter/config.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from rackseam.benchlink import settings_of
+from rackseam.benchlink import parse_settings
 from rackseam.interface import Settings
 from stackrouter.errors import (
     AddressError,
@@ -21,8 +21,8 @@
 )
 from stackrouter.ops.retune import check
 
-SPARE_SOCKETS = 32  # descriptors reserved for the log, the event loop, listeners and discovery
-CLIENT_PART = 0.6  # share of the remaining descriptors for clients; the others are for nodes
+RESERVED_SOCKETS = 32  # descriptors reserved for the log, the event loop, listeners and discovery
+CLIENT_SHARE = 0.6  # share of the remaining descriptors for clients; the others are for nodes
 OPEN_REQUEST_BYTES = 128 * 1024  # memory of an open request: its body and its answer
 BASE_PROCESS_BYTES = 24 << 20  # memory of the process without requests
 LARGE_ANSWER_SHARE = (
@@ -94,7 +94,7 @@
             check(raw, text)
         return _config(raw, environ)
     except RetuneError as error:
-        raise error.within(f"GW_CONFIG: {path}") from None
+        raise error.in_file(f"GW_CONFIG: {path}") from None
     except KeyError as error:
         raise ConfigKeyError("key is missing", file=f"GW_CONFIG: {path}", key=str(error.args[0])) from None
     except (TypeError, ValueError, AttributeError, IndexError) as error:
@@ -147,7 +147,7 @@
         raw["settings"] = policy["settings"] | {"Position": raw["settings"].get("Position", 0)}
         return _config(raw, environ)
     except RetuneError as error:
-        raise error.within("policy") from None
+        raise error.in_file("policy") from None
     except KeyError as error:
         raise ConfigKeyError("key is missing", file="policy", key=str(error.args[0])) from None
     except (TypeError, ValueError, AttributeError, IndexError) as error:
@@ -157,7 +157,7 @@
 def _config(raw: dict[str, Any], environ: Mapping[str, str]) -> Config:
     conf = raw["settings"]
     caps, limits = conf.get("Caps") or {}, raw.get("limits") or {}
-    sockets = max(8, int(limits.get("sockets") or 1024) - SPARE_SOCKETS)
+    sockets = max(8, int(limits.get("sockets") or 1024) - RESERVED_SOCKETS)
     memory = int(limits.get("memory_mb") or 192) << 20
     return Config(
         name=str(environ.get("GW_NAME") or raw.get("name") or "gateway"),
@@ -169,7 +169,7 @@
         discovery=address_of(environ.get("GW_DISCOVERY") or raw.get("discovery"), "GW_DISCOVERY"),
         # On real connections a refusal can always carry a retry delay, whatever the simulator supports.
         settings=replace(
-            settings_of(conf, int(str(raw.get("seed") or "0"), 16)),
+            parse_settings(conf, int(str(raw.get("seed") or "0"), 16)),
             retry_after_most_us=int(caps.get("MaxRetryAfterUs") or 0),
         ),
         known=raw.get("known") or {"index": 0, "snapshot": True, "endpoints": []},
@@ -186,6 +186,6 @@
         answer_bytes=int(max(0, memory - BASE_PROCESS_BYTES) * LARGE_ANSWER_SHARE),
         connect_timeout_us=int(caps.get("ConnectTimeoutUs") or 250_000),
         keepalive_us=int(caps.get("KeepaliveUs") or 15_000_000),
-        client_sockets=int(sockets * CLIENT_PART),
-        node_sockets=sockets - int(sockets * CLIENT_PART),
+        client_sockets=int(sockets * CLIENT_SHARE),
+        node_sockets=sockets - int(sockets * CLIENT_SHARE),
     )
--- a/stackrouter/controlplane/client.py
+++ b/stackrouter/controlplane/client.py
@@ -35,9 +35,9 @@
 from stackrouter.controlplane.routing import ReplicaAddress
 from stackrouter.controlplane.snapshot import ReplicatedState
 from stackrouter.coord.member import boottime_us
-from stackrouter.coord.policy import PolicyStateMachine, Rules, Version
+from stackrouter.coord.policy import HeartbeatRules, PolicyStateMachine, Version
 from stackrouter.coord.port import LogPosition
-from stackrouter.errors import ConfigError, FrameError, PolicyTakeError, defect, tell
+from stackrouter.errors import ConfigError, FrameError, PolicyTakeError, log_error, log_unexpected
 
 log = logging.getLogger(__name__)
 
@@ -86,26 +86,26 @@
 
 
 class ObserverClient:
-    """Runs an observer on a socket. `version_taken` is called after each attempt to apply a version, with the
-    version, whether it is in force here now, and the time."""
+    """Runs an observer on a socket. `version_applied` is called after each attempt to apply a version, with
+    the version, whether it is in force here now, and the time."""
 
     def __init__(
         self,
         identity: GatewayIdentity,
         replicas: Sequence[ReplicaAddress],
-        rules: Rules,
+        rules: HeartbeatRules,
         sink: Sink,
         rng: Random,
         clock: Callable[[], int] = boottime_us,
         times: ObserverTimes | None = None,
         relay: Relay | None = None,
-        version_taken: Callable[[Version, bool, int], None] = lambda version, applied, now: None,
+        version_applied: Callable[[Version, bool, int], None] = lambda version, applied, now: None,
     ) -> None:
         self.policy = PolicyStateMachine(rules)
         self.observer = Observer(identity, replicas, self.policy, rng, times, relay is not None)
         self.clock = clock
         self.last_valid_us: int | None = None  # when the heartbeat was last found valid
-        self._sink, self._relay, self._version_taken = sink, relay, version_taken
+        self._sink, self._relay, self._version_applied = sink, relay, version_applied
         self._loop: Any = gevent.get_hub().loop
         self._timer = self._loop.timer(0)
         self._connection: Connection | None = None
@@ -192,7 +192,7 @@
             self._carry_out(method(*arguments, self.clock()))
             self._flush()
         except Exception:
-            defect(log, "control plane")
+            log_unexpected(log, "control plane")
         self._schedule_tick()
 
     # Actions of the observer.
@@ -221,10 +221,10 @@
             self._sink.take_policy(version.body)
         except (ConfigError, ValueError) as error:  # validated where it was proposed, but invalid here
             applied = False
-            tell(log, PolicyTakeError(error), f"policy.failed version={version.number}", logging.ERROR)
+            log_error(log, PolicyTakeError(error), f"policy.failed version={version.number}", logging.ERROR)
         now = self.clock()
         self._carry_out(self.observer.policy_taken(version, applied, now))
-        self._version_taken(version, applied, now)
+        self._version_applied(version, applied, now)
 
     def _forward(self, action: StateLoaded | ChangeReceived | HeartbeatConfirmed) -> None:
         assert self._relay is not None
@@ -251,7 +251,7 @@
         self._hangups += 1
         self._failures += 1
         if not self._failures & (self._failures - 1):  # at 1, 2, 4, ...: limits log lines during an outage
-            tell(log, action.error, f"control plane, {self._failures} in a row")
+            log_error(log, action.error, f"control plane, {self._failures} in a row")
         if self._connection is not None:
             self._close_connection()
 
--- a/stackrouter/controlplane/codec.py
+++ b/stackrouter/controlplane/codec.py
@@ -12,7 +12,7 @@
 from stackrouter.errors import FrameEmptyError, FrameError, FrameTooLargeError, FrameUnreadableError
 
 PREFIX_BYTES = 4
-MOST_TO_REPLICA = 16 * 1024  # bytes of a Hello, or of a Heartbeat of an observing replica with 16 names
+MAX_TO_REPLICA_BYTES = 16 * 1024  # bytes of a Hello, or of a Heartbeat of an observing replica with 16 names
 MAX_TO_GATEWAY_BYTES = 8 * 1024 * 1024  # a change that names all of 20,000 nodes, or a policy of 256 KiB
 
 
--- a/stackrouter/controlplane/connection.py
+++ b/stackrouter/controlplane/connection.py
@@ -15,7 +15,7 @@
 
 import gevent
 
-from stackrouter.errors import defect
+from stackrouter.errors import log_unexpected
 
 log = logging.getLogger(__name__)
 
@@ -171,7 +171,7 @@
         try:
             self._received(data)
         except Exception:  # a bug in one connection must not end the others
-            defect(log, "control plane")
+            log_unexpected(log, "control plane")
             self._close_and_notify("internal error")
 
     def _connected(self, connected: Callable[[Connection], None]) -> None:
--- a/stackrouter/controlplane/conversion.py
+++ b/stackrouter/controlplane/conversion.py
@@ -13,7 +13,7 @@
     Position,
     ServingSummary,
 )
-from stackrouter.coord.ledger import MOST_REPORTED
+from stackrouter.coord.ledger import MAX_REPORT_ITEMS
 from stackrouter.coord.policy import Version
 from stackrouter.coord.port import ActiveSeen, ListingSeen, LogPosition, PolicySeen, ServingReport
 
@@ -38,9 +38,9 @@
 
 
 def report_from(message: ServingSummary) -> ServingReport:
-    """Convert a message to a serving report, truncated to MOST_REPORTED versions and names."""
-    by_version = tuple((count.version, count.gateways) for count in message.by_version[:MOST_REPORTED])
-    return ServingReport(message.gateways, by_version, tuple(message.behind[:MOST_REPORTED]))
+    """Convert a message to a serving report, truncated to MAX_REPORT_ITEMS versions and names."""
+    by_version = tuple((count.version, count.gateways) for count in message.by_version[:MAX_REPORT_ITEMS])
+    return ServingReport(message.gateways, by_version, tuple(message.behind[:MAX_REPORT_ITEMS]))
 
 
 def policy_message(version: Version) -> PolicyVersion:
--- a/stackrouter/controlplane/gateway.py
+++ b/stackrouter/controlplane/gateway.py
@@ -23,7 +23,7 @@
 from stackrouter.controlplane.observer import GatewayIdentity, TakeNodes
 from stackrouter.controlplane.routing import ReplicaAddress
 from stackrouter.controlplane.status import GatewayStatus
-from stackrouter.coord.policy import Rules
+from stackrouter.coord.policy import HeartbeatRules
 from stackrouter.coord.watch import Follower, Role, Verdict
 from stackrouter.core.counters import Counters
 from stackrouter.edge.config import Control
@@ -52,7 +52,7 @@
         self.client = ObserverClient(
             GatewayIdentity(name, f"{name}#{os.getpid():x}.{time.time_ns() & 0xFFFFFFFF:x}", control.region),
             [ReplicaAddress(r.name, r.address, r.region) for r in control.replica],
-            Rules(control.touch_ms * 1000, control.max_drift_ms * 1000, control.on_loss == "refuse"),
+            HeartbeatRules(control.touch_ms * 1000, control.max_drift_ms * 1000, control.on_loss == "refuse"),
             self, Random(),
         )  # fmt: skip
         self.policy = self.client.policy
@@ -68,7 +68,7 @@
         if self._worker is not None:
             self._worker.kill(block=False)
 
-    def holds_back(self) -> bool:
+    def refuses_requests(self) -> bool:
         """Whether new requests must be refused: this gateway cannot know which policy is in force."""
         return not self.policy.serves(self.client.clock())
 
@@ -124,10 +124,10 @@
         assert stale_at is not None
         return min(MAX_WAIT_S, max(MIN_WAIT_S, (stale_at - now) / 1e6))
 
-    def told(self, base: int | None, listing: dict[str, Any]) -> None:
+    def listing_received(self, base: int | None, listing: dict[str, Any]) -> None:
         """Discovery answered a query of this gateway."""
         index = int(listing["index"])
-        self._follower.asked(index)
+        self._follower.queried(index)
         self._missed_change = index < self._stream_index  # older than the control plane's list: query again
 
     def _follows(self, now: int) -> bool:
@@ -136,9 +136,9 @@
     def _follow(self, index: int, whole: bool, items: list[dict[str, Any]]) -> None:
         base = None if whole else self._stream_index
         self._stream_index = index
-        verdict = self._follower.takes(self.client.clock(), PUBLISHER_TOKEN, base, index)
+        verdict = self._follower.verdict_on(self.client.clock(), PUBLISHER_TOKEN, base, index)
         self._missed_change = self._missed_change or verdict is Verdict.GAP
-        if verdict is Verdict.TAKE:
+        if verdict is Verdict.APPLY:
             self._counters.add("control.listings")
             self._queue_listing({"index": index, "snapshot": whole, "endpoints": items})
 
@@ -155,4 +155,4 @@
 
     def _deliver_listings(self) -> None:
         while self._listings:
-            self._discovery.follow(self._listings.popleft())
+            self._discovery.apply_relayed(self._listings.popleft())
--- a/stackrouter/controlplane/observer.py
+++ b/stackrouter/controlplane/observer.py
@@ -86,11 +86,12 @@
 
     connect_timeout_us: int = 2_000_000
     welcome_timeout_us: int = 2_000_000
-    silence: int = 3_000_000  # without a heartbeat answer; while a snapshot is expected: without any frame
+    # Without a heartbeat answer; while a snapshot is expected: without any frame.
+    silence_timeout_us: int = 3_000_000
     snapshot_timeout_us: int = 60_000_000  # from the Welcome to the end of the snapshot
     stable_after_us: int = 3_000_000  # a connection that was live this long resets the backoff
-    backoff_base: int = 100_000
-    backoff_most: int = 2_000_000  # well below the time within which a change must be in force
+    backoff_base_us: int = 100_000
+    backoff_max_us: int = 2_000_000  # well below the time within which a change must be in force
 
 
 @dataclass(frozen=True, slots=True)
@@ -197,7 +198,7 @@
         self.replica: ReplicaAddress | None = None  # connected or connecting to it
         self._relay = relay  # an observing replica: it forwards the state, and applies nothing
         self.relayed = ServingReport()  # of a relay: report on its own gateways, sent with heartbeats
-        self._backoff = Backoff(self.times.backoff_base, self.times.backoff_most, rng)
+        self._backoff = Backoff(self.times.backoff_base_us, self.times.backoff_max_us, rng)
         self._next_replica = 0  # index in `replicas`
         self._retry_not_before = dict[str, int]()  # by replica: end of the retry delay that it asked for
         self._link_at = 0  # when `link` last changed; while WAITING: when to connect
@@ -245,7 +246,7 @@
 
     def policy_taken(self, version: Version, applied: bool, now: int) -> list[ObserverAction]:
         """Result of a TakePolicy action."""
-        self.policy.version_taken(version, now, applied)
+        self.policy.version_applied(version, now, applied)
         return []
 
     def heartbeat(self, now: int) -> tuple[int, list[ObserverAction]]:
@@ -297,7 +298,7 @@
 
     def _connect(self, now: int) -> list[ObserverAction]:
         if not self.replicas:
-            self._link_at = now + self.times.backoff_most
+            self._link_at = now + self.times.backoff_max_us
             return []
         self.replica = self._choose_replica(now)
         self._change_link(Link.CONNECTING, now)
@@ -342,9 +343,12 @@
             case Link.GREETING:
                 return self._link_at + times.welcome_timeout_us
             case Link.SNAPSHOT:
-                return min(self._link_at + times.snapshot_timeout_us, self._last_received_at + times.silence)
+                return min(
+                    self._link_at + times.snapshot_timeout_us,
+                    self._last_received_at + times.silence_timeout_us,
+                )
         since = self._unanswered_since
-        return self._heartbeat_at if since is None else since + times.silence
+        return self._heartbeat_at if since is None else since + times.silence_timeout_us
 
     def _timeout_error(self, now: int) -> ControlError | None:
         if now < self._times_out_at():
@@ -382,7 +386,7 @@
 
     def _rejected(self, reject: Reject, now: int) -> list[ObserverAction]:
         if self.replica is not None and reject.retry_after_ms:
-            after_us = min(reject.retry_after_ms * 1000, self.times.backoff_most)
+            after_us = min(reject.retry_after_ms * 1000, self.times.backoff_max_us)
             self._retry_not_before[self.replica.name] = now + after_us
         if reject.reason in RejectReason.values():
             name = RejectReason.Name(reject.reason)
--- a/stackrouter/controlplane/process.py
+++ b/stackrouter/controlplane/process.py
@@ -35,13 +35,13 @@
 from stackrouter.coord.calls import PolicyCalls
 from stackrouter.coord.join import policy_rules, position_of, raft_store, timing
 from stackrouter.coord.member import WATCH, Member, boottime_us
-from stackrouter.coord.policy import Rules
+from stackrouter.coord.policy import HeartbeatRules
 from stackrouter.coord.raft import Raft
 from stackrouter.core.counters import Counters
 from stackrouter.core.engine import clock_us
 from stackrouter.edge.config import Control, Coordination, Edge
 from stackrouter.edge.config import ReplicaLimits as ConfiguredLimits
-from stackrouter.edge.load import load_apart
+from stackrouter.edge.load import load_in_child_process
 from stackrouter.errors import (
     DoorCallError,
     EdgeValueError,
@@ -70,12 +70,12 @@
     """Convert the limits in the operator's file to those of the state machine."""
     return ReplicaLimits(
         most_gateways=configured.gateways,
-        most_unknown=MAX_UNIDENTIFIED,
-        most_queued_bytes=configured.queued_kb * 1024,
-        snapshots_at_once=configured.snapshots,
+        max_unidentified=MAX_UNIDENTIFIED,
+        max_queued_bytes=configured.queued_kb * 1024,
+        max_snapshot_transfers=configured.snapshots,
         snapshot_bytes_s=configured.snapshot_kb_s * 1024,
         max_log_entries=configured.deltas,
-        most_log_bytes=configured.deltas_kb * 1024,
+        max_log_bytes=configured.deltas_kb * 1024,
         barrier_interval_us=configured.barrier_interval_ms * 1000,
     )
 
@@ -130,19 +130,19 @@
         """Answer a call on the admin socket: `status`, `control status`, `policy ...`."""
         if call == "status":
             if self._terminated.is_set():
-                return f"FAILURE {StoppingError('stopping').coded()}"
+                return f"FAILURE {StoppingError('stopping').with_code()}"
             if not self.machine.ready:
-                return f"FAILURE {NotReadyError('no state was confirmed by a majority yet').coded()}"
+                return f"FAILURE {NotReadyError('no state was confirmed by a majority yet').with_code()}"
             return "SUCCESS serving"
         if call == "control status":
             return f"SUCCESS {json.dumps(asdict(self.status()), separators=(',', ':'))}"
         if call.startswith("policy "):
             return self.policy_call(call)
-        return f"FAILURE {DoorCallError(f'{call[:40]!r}: not a call of a control replica').coded()}"
+        return f"FAILURE {DoorCallError(f'{call[:40]!r}: not a call of a control replica').with_code()}"
 
     def policy_call(self, call: str) -> str:
         """Answer a `policy ...` call."""
-        return f"FAILURE {NoPolicyError('this replica does not vote: ask one that does').coded()}"
+        return f"FAILURE {NoPolicyError('this replica does not vote: ask one that does').with_code()}"
 
     def leader(self) -> tuple[str, int]:
         """The leader and the term of the group, as known here."""
@@ -252,7 +252,7 @@
         self._client = ObserverClient(
             GatewayIdentity(control.name, f"{control.name}#{time.time_ns():x}", control.region),
             [ReplicaAddress(r.name, r.address, r.region) for r in control.replica],
-            Rules(control.touch_ms * 1000, control.max_drift_ms * 1000),
+            HeartbeatRules(control.touch_ms * 1000, control.max_drift_ms * 1000),
             NoSink(), Random(), relay=source,
         )  # fmt: skip
         source.server, source.client = self.server, self._client
@@ -285,7 +285,7 @@
         signal.signal(number, lambda received, _: early_signals.append(received))
     log.start()
     try:
-        edge = load_apart(Path(file))
+        edge = load_in_child_process(Path(file))
         if edge.log.format != "plain":
             log.start(edge.log.format, edge.control.name or edge.coordination.member)
         replica = create_replica(edge, file)
@@ -293,11 +293,11 @@
         failure: StackrouterError = MissingExtraError(
             f"needs {error.name}: install stackrouter[coord]", file=file
         )
-        print(f"stackrouter: {failure.whole()}", file=sys.stderr)
+        print(f"stackrouter: {failure.one_line()}", file=sys.stderr)
         return EXIT_CONFIG
     except (StackrouterError, OSError) as error:
         failure = error if isinstance(error, StackrouterError) else StartSystemError(error)
-        print(f"stackrouter: {failure.whole()}", file=sys.stderr)
+        print(f"stackrouter: {failure.one_line()}", file=sys.stderr)
         return EXIT_CONFIG
     _on_signal(signal.SIGTERM, replica.terminate)
     _on_signal(signal.SIGINT, replica.terminate)
--- a/stackrouter/controlplane/replica.py
+++ b/stackrouter/controlplane/replica.py
@@ -54,21 +54,21 @@
     """Limits of one replica. Times in microseconds."""
 
     most_gateways: int = 2000
-    most_unknown: int = 64  # connections that have not sent Hello
+    max_unidentified: int = 64  # connections that have not sent Hello
     hello_timeout_us: int = 2_000_000
     silence_timeout_us: int = 30_000_000  # a reader that sends nothing for this long is disconnected
     barrier_interval_us: int = 100_000  # minimum time between the starts of two barriers
     barrier_timeout_us: int = 1_000_000  # a barrier without an answer after this time has failed
     max_failed_barriers: int = 3  # in a row; then new gateways are rejected until a barrier is confirmed
-    most_queued_bytes: int = 4 * 1024 * 1024  # unsent to one reader; above it the reader is disconnected
-    snapshots_at_once: int = 8
+    max_queued_bytes: int = 4 * 1024 * 1024  # unsent to one reader; above it the reader is disconnected
+    max_snapshot_transfers: int = 8
     snapshot_bytes_s: int = 16 * 1024 * 1024  # total rate of all snapshots
     snapshot_window_bytes: int = 128 * 1024  # the next part is written only while fewer bytes are unsent
     snapshot_timeout_us: int = 30_000_000  # a reader whose snapshot takes longer is disconnected
     max_log_entries: int = 4096
-    most_log_bytes: int = 8 * 1024 * 1024
-    most_resume_bytes: int = 128 * 1024  # of missed changes; above it a snapshot is sent
-    most_delta_bytes: int = 512 * 1024  # a larger change is sent as a snapshot, whose rate is limited
+    max_log_bytes: int = 8 * 1024 * 1024
+    max_resume_bytes: int = 128 * 1024  # of missed changes; above it a snapshot is sent
+    max_delta_bytes: int = 512 * 1024  # a larger change is sent as a snapshot, whose rate is limited
     retry_after_us: int = 1_000_000  # sent with REPLICA_FULL and NOT_READY rejections
 
 
@@ -180,8 +180,8 @@
 class ReplicaStateMachine:
     """One control replica. Every method returns the actions to carry out, in order.
 
-    The driver calls `queued` whenever sending has changed the number of unsent bytes of a reader, and `tick`
-    when `next_at` is reached. After a `Close` it makes no further calls for that reader.
+    The driver calls `unsent_bytes_changed` whenever sending has changed the number of unsent bytes of a
+    reader, and `tick` when `next_at` is reached. After a `Close` it makes no further calls for that reader.
     """
 
     def __init__(self, name: str, limits: ReplicaLimits) -> None:
@@ -197,7 +197,7 @@
         self._serving = ServingCounts()
         self._barriers = ReadBarriers(limits.barrier_interval_us, limits.barrier_timeout_us)
         self._snapshots = SnapshotQueue(
-            limits.snapshots_at_once, limits.snapshot_bytes_s, limits.snapshot_timeout_us
+            limits.max_snapshot_transfers, limits.snapshot_bytes_s, limits.snapshot_timeout_us
         )
         self._pending_report: ServingReport | None = None  # sent with the barrier in progress
         self._confirmed_report: ServingReport | None = None  # sent with the last confirmed barrier
@@ -211,7 +211,7 @@
         """A connection was accepted. `reader`: the driver's number for it, never reused."""
         self._readers[reader] = _Session(reader, now, now)
         self._hello_deadlines[reader] = now + self.limits.hello_timeout_us
-        if len(self._hello_deadlines) > self.limits.most_unknown:
+        if len(self._hello_deadlines) > self.limits.max_unidentified:
             return self._reject(reader, REPLICA_FULL, "too many connections that have not said Hello")
         return []
 
@@ -232,13 +232,13 @@
         reason = FRAME_TOO_LARGE if isinstance(error, FrameTooLargeError) else BAD_FRAME
         return self._reject(reader, reason, error.what)
 
-    def queued(self, reader: int, unsent_bytes: int, now: int) -> list[ReplicaAction]:
+    def unsent_bytes_changed(self, reader: int, unsent_bytes: int, now: int) -> list[ReplicaAction]:
         """Update the number of bytes written to this reader and not sent yet."""
         session = self._readers.get(reader)
         if session is None:
             return []
         session.queued_bytes = unsent_bytes
-        if unsent_bytes > self.limits.most_queued_bytes:
+        if unsent_bytes > self.limits.max_queued_bytes:
             return self._too_slow(session)
         actions: list[ReplicaAction] = []
         if session.phase in (Phase.QUEUED, Phase.SNAPSHOT):
@@ -290,7 +290,7 @@
         if delta.WhichOneof("change") == "activated":
             self._serving.activated(state.active)
         encoded = encode(Frame(delta=delta))
-        if len(encoded) > self.limits.most_delta_bytes:
+        if len(encoded) > self.limits.max_delta_bytes:
             return self._restart_log(now)
         self._delta_log.append(number, encoded)
         actions: list[ReplicaAction] = []
@@ -436,7 +436,7 @@
     ) -> None:
         assert self._state is not None
         missing = self._delta_log.after(resume) if resume.history else None
-        resumed = missing is not None and sum(map(len, missing)) <= self.limits.most_resume_bytes
+        resumed = missing is not None and sum(map(len, missing)) <= self.limits.max_resume_bytes
         history = self._state.position.history
         welcome = Welcome(replica=self.name, history=history, resumed=resumed)
         self._write(session, encode(Frame(welcome=welcome)), actions)
@@ -470,7 +470,7 @@
             return
         session.queued_bytes += len(data)
         actions.append(Write(session.reader, data))
-        if session.queued_bytes > self.limits.most_queued_bytes:
+        if session.queued_bytes > self.limits.max_queued_bytes:
             actions += self._too_slow(session)
 
     def _too_slow(self, session: _Session) -> list[ReplicaAction]:
@@ -539,7 +539,7 @@
         """Start a new log after a jump of the state: all readers need a snapshot, in connection order."""
         assert self._state is not None
         limits = self.limits
-        self._delta_log = DeltaLog(self._state.position, limits.max_log_entries, limits.most_log_bytes)
+        self._delta_log = DeltaLog(self._state.position, limits.max_log_entries, limits.max_log_bytes)
         actions: list[ReplicaAction] = []
         for session in list(self._gateways.values()):
             if session.phase is not Phase.QUEUED:
--- a/stackrouter/controlplane/server.py
+++ b/stackrouter/controlplane/server.py
@@ -16,7 +16,7 @@
 
 import gevent
 
-from stackrouter.controlplane.codec import MOST_TO_REPLICA, FrameDecoder
+from stackrouter.controlplane.codec import MAX_TO_REPLICA_BYTES, FrameDecoder
 from stackrouter.controlplane.connection import READ, Connection
 from stackrouter.controlplane.frames_pb2 import RejectReason
 from stackrouter.controlplane.replica import (
@@ -29,7 +29,7 @@
 )
 from stackrouter.coord.port import ServingReport
 from stackrouter.core.counters import Counters
-from stackrouter.errors import FrameError, defect, tell
+from stackrouter.errors import FrameError, log_error, log_unexpected
 from stackrouter.net.listen_socket import listen_at
 
 log = logging.getLogger(__name__)
@@ -134,7 +134,7 @@
         reader = self._last_reader
         connection = Connection(sock, partial(self._received, reader), partial(self._disconnected, reader),
                                 partial(self._progressed, reader))  # fmt: skip
-        self._readers[reader] = _Session(connection, FrameDecoder(MOST_TO_REPLICA), peer)
+        self._readers[reader] = _Session(connection, FrameDecoder(MAX_TO_REPLICA_BYTES), peer)
         self.counters.add("control.connections")
         self.call(self.machine.accepted, reader)
 
@@ -144,7 +144,7 @@
             frames = session.decoder.feed(data)
         except FrameError as error:
             self.counters.add("control.bad_frames")
-            tell(log, type(error)(error.what, address=session.address), "control plane")
+            log_error(log, type(error)(error.what, address=session.address), "control plane")
             self.call(self.machine.unreadable, reader, error)
             return
         now = self._clock()
@@ -159,7 +159,7 @@
         self.call(self.machine.disconnected, reader)
 
     def _progressed(self, reader: int) -> None:
-        self.call(self.machine.queued, reader, self._readers[reader].connection.queued_bytes)
+        self.call(self.machine.unsent_bytes_changed, reader, self._readers[reader].connection.queued_bytes)
 
     # Actions of the state machine.
 
@@ -227,7 +227,7 @@
             self._send()
         except Exception:  # keep serving; a gateway that misses a change notices it by its heartbeats
             self.counters.add("errors.control")
-            defect(log, "control plane")
+            log_unexpected(log, "control plane")
         if self._unsent:
             self._wake()
         else:
@@ -245,6 +245,6 @@
                     continue
                 session.connection.flush()
                 if reader in self._readers and (
-                    actions := self.machine.queued(reader, session.connection.queued_bytes, now)
+                    actions := self.machine.unsent_bytes_changed(reader, session.connection.queued_bytes, now)
                 ):
                     self._carry_out(actions)
--- a/stackrouter/controlplane/serving.py
+++ b/stackrouter/controlplane/serving.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from itertools import chain, islice
 
-from stackrouter.coord.ledger import MOST_REPORTED
+from stackrouter.coord.ledger import MAX_REPORT_ITEMS
 from stackrouter.coord.port import ServingReport
 
 
@@ -57,6 +57,6 @@
             for report in relayed:
                 counts.update(dict(report.by_version))
         behind = chain(self._behind, *(report.behind for report in relayed))
-        by_version = tuple(sorted(counts.most_common(MOST_REPORTED)))
+        by_version = tuple(sorted(counts.most_common(MAX_REPORT_ITEMS)))
         gateways = connected - len(relayed) + sum(report.gateways for report in relayed)
-        return ServingReport(gateways, by_version, tuple(islice(behind, MOST_REPORTED)))
+        return ServingReport(gateways, by_version, tuple(islice(behind, MAX_REPORT_ITEMS)))
--- a/stackrouter/controlplane/snapshot.py
+++ b/stackrouter/controlplane/snapshot.py
@@ -21,7 +21,7 @@
     version_from,
 )
 from stackrouter.controlplane.frames_pb2 import Delta, Frame, Node, NodeChanges, SnapshotChunk, SnapshotPart
-from stackrouter.coord.ledger import MOST_NODES, MOST_VERSIONS, retained
+from stackrouter.coord.ledger import MAX_NODES, MAX_VERSIONS, retained_versions
 from stackrouter.coord.policy import Version
 from stackrouter.coord.port import LedgerState, LogPosition
 from stackrouter.errors import SnapshotRefusedError
@@ -29,7 +29,7 @@
 NODES_IN_CHUNK = 128
 MAX_CHUNK_BYTES = 1024 * 1024  # uncompressed: a policy of 256 KiB, or 128 nodes
 MAX_SNAPSHOT_BYTES = 16 * 1024 * 1024  # compressed, all parts
-MAX_PARTS = 1 + MOST_VERSIONS + MOST_NODES // NODES_IN_CHUNK + 1
+MAX_PARTS = 1 + MAX_VERSIONS + MAX_NODES // NODES_IN_CHUNK + 1
 COMPRESSION_LEVEL = 3
 NO_LIST = -1
 
@@ -55,7 +55,9 @@
         """Apply the next change."""
         match delta.WhichOneof("change"):
             case "committed":
-                self.policies = retained([*self.policies, version_from(delta.committed)], self.active)
+                self.policies = retained_versions(
+                    [*self.policies, version_from(delta.committed)], self.active
+                )
             case "activated":
                 self.active = delta.activated
             case "nodes":
@@ -191,10 +193,10 @@
             self._node_chunks.append(data)
         if len(chunk.nodes) > NODES_IN_CHUNK:
             raise SnapshotRefusedError(f"a part with {len(chunk.nodes)} nodes, at most {NODES_IN_CHUNK}")
-        if self._nodes > MOST_NODES or len(self._policies) > MOST_VERSIONS:
+        if self._nodes > MAX_NODES or len(self._policies) > MAX_VERSIONS:
             raise SnapshotRefusedError(
-                f"{self._nodes} nodes and {len(self._policies)} policies, at most {MOST_NODES} and"
-                f" {MOST_VERSIONS} are allowed"
+                f"{self._nodes} nodes and {len(self._policies)} policies, at most {MAX_NODES} and"
+                f" {MAX_VERSIONS} are allowed"
             )
 
     def _complete(self) -> ReceivedSnapshot:
--- a/stackrouter/controlplane/source.py
+++ b/stackrouter/controlplane/source.py
@@ -53,7 +53,7 @@
         self._in_flight: tuple[int, int] | None = None  # number of the Barrier command, and its barrier
 
     def start_barrier(self, barrier: int, report: ServingReport) -> None:
-        self._in_flight = self._store.ask(Barrier(self._name, report)), barrier
+        self._in_flight = self._store.submit(Barrier(self._name, report)), barrier
 
     def reload_state(self) -> None:
         self._store.request_state()
@@ -81,7 +81,7 @@
     def begin_history(self) -> None:
         """Propose an identity for the group's history if it has none; the caller repeats this."""
         if self._history_missing:
-            self._store.ask(BeginHistory(self._name, uuid.uuid4().hex))
+            self._store.submit(BeginHistory(self._name, uuid.uuid4().hex))
 
     def _load(self, server: ControlServer, event: StateReplaced) -> None:
         self._history_missing = not event.state.position.history
--- a/stackrouter/coord/calls.py
+++ b/stackrouter/coord/calls.py
@@ -74,8 +74,8 @@
                 case [_, "rollback", base] if base.isdigit():
                     return self._propose(int(base), self._previous_body(int(base)))
         except (PolicyError, ConfigError) as error:
-            return f"FAILURE {error.coded()}"
-        return f"FAILURE {DoorCallError(f'usage: {USAGE}').coded()}"
+            return f"FAILURE {error.with_code()}"
+        return f"FAILURE {DoorCallError(f'usage: {USAGE}').with_code()}"
 
     def _status(self) -> str:
         member, policy_state = self._member, self._member.policy_state
--- a/stackrouter/coord/drill.py
+++ b/stackrouter/coord/drill.py
@@ -3,9 +3,9 @@
 
 Between the check whether it may act and the action it waits for a while, as real work would: a member that is
 paused in between acts late, and the receiver has to reject the action by its token. A line is
-`duty token life looked_at`; `looked_at` is in nanoseconds of the machine's monotonic clock, independent of
-the member's lease clock. If a policy is kept, the member also reports the version under which a request that
-arrived now would be served: `serve version life looked_at digest`.
+`duty token incarnation looked_at`; `looked_at` is in nanoseconds of the machine's monotonic clock,
+independent of the member's lease clock. If a policy is kept, the member also reports the version under which
+a request that arrived now would be served: `serve version incarnation looked_at digest`.
 """
 
 from __future__ import annotations
@@ -48,12 +48,12 @@
             return
         looked_at = time.monotonic_ns()
         gevent.sleep(self._work_s)
-        sock.sendall(f"{duty} {token} {self._member.life} {looked_at}\n".encode())
+        sock.sendall(f"{duty} {token} {self._member.incarnation} {looked_at}\n".encode())
 
     def _send_served_version(self, sock: socket.socket) -> None:
         policy_state = self._member.policy_state
-        if policy_state is None or self._member.holds_back():
+        if policy_state is None or self._member.refuses_requests():
             return
         looked_at, version = time.monotonic_ns(), policy_state.serving
         digest = version.digest[:12] or "own"
-        sock.sendall(f"serve {version.number} {self._member.life} {looked_at} {digest}\n".encode())
+        sock.sendall(f"serve {version.number} {self._member.incarnation} {looked_at} {digest}\n".encode())
--- a/stackrouter/coord/etcd.py
+++ b/stackrouter/coord/etcd.py
@@ -28,7 +28,7 @@
 from etcd3gw.exceptions import Etcd3Exception
 from etcd3gw.lease import Lease as StoreLease
 
-from stackrouter.coord.ledger import MOST_VERSIONS, Listings
+from stackrouter.coord.ledger import MAX_VERSIONS, Listings
 from stackrouter.coord.policy import Version
 from stackrouter.coord.port import (
     UNKNOWN,
@@ -53,7 +53,7 @@
     Release,
     Renew,
 )
-from stackrouter.errors import StoreError, tell
+from stackrouter.errors import StoreError, log_error
 
 log = logging.getLogger(__name__)
 
@@ -92,7 +92,7 @@
         self._wake = wake
         self._thread.start()
 
-    def ask(self, command: Command) -> int:
+    def submit(self, command: Command) -> int:
         self._last_number += 1
         try:
             self._commands.put_nowait((self._last_number, command))
@@ -143,7 +143,7 @@
             except (Etcd3Exception, ValueError, KeyError, OSError) as error:
                 self._reachable = False
                 self._clients.rotate(-1)
-                tell(log, StoreError(error), "coordination")
+                log_error(log, StoreError(error), "coordination")
                 if number is not None:
                     self._emit(Answered(number, False, None, UNKNOWN))
                 else:
@@ -267,7 +267,7 @@
                 self._emit(ListingSeen(int(published["token"]), None, listing))
             elif kind == "policy" and int(rest) > (self._policies[-1].number if self._policies else 0):
                 version = Version(int(rest), *json.loads(value))
-                self._policies = [*self._policies[1 - MOST_VERSIONS :], version]
+                self._policies = [*self._policies[1 - MAX_VERSIONS :], version]
                 self._emit(PolicySeen(version))
             elif kind == "active" and int(metadata["mod_revision"]) != self._active_revision:
                 self._active_revision, self._active = int(metadata["mod_revision"]), int(value)
--- a/stackrouter/coord/join.py
+++ b/stackrouter/coord/join.py
@@ -11,7 +11,7 @@
 from stackrouter.config import address_of
 from stackrouter.coord.lease import Timing
 from stackrouter.coord.member import Member, boottime_us
-from stackrouter.coord.policy import Rules
+from stackrouter.coord.policy import HeartbeatRules
 from stackrouter.coord.port import Coordination as Store
 from stackrouter.core.counters import Counters
 from stackrouter.edge.config import Coordination
@@ -54,7 +54,7 @@
 
         Drill(member, address_of(conf.drill.receiver, "coordination.drill.receiver"),
               conf.drill.every_ms / 1000, conf.drill.work_ms / 1000).start()  # fmt: skip
-    log.info("coordination by %s as %s", conf.store, member.life)
+    log.info("coordination by %s as %s", conf.store, member.incarnation)
     return member
 
 
@@ -67,11 +67,11 @@
     return names.index(name) if name in names else 0
 
 
-def policy_rules(conf: Coordination) -> Rules:
+def policy_rules(conf: Coordination) -> HeartbeatRules:
     """The policy's heartbeat rules, with the drift bound scaled from the lease's ttl."""
     validity_us = conf.policy.touch_ms * 1000
     drift_us = validity_us * conf.max_drift_ms // conf.ttl_ms
-    return Rules(validity_us, drift_us, conf.policy.on_loss == "refuse")
+    return HeartbeatRules(validity_us, drift_us, conf.policy.on_loss == "refuse")
 
 
 def store(conf: Coordination, position: int) -> Store:
--- a/stackrouter/coord/lease.py
+++ b/stackrouter/coord/lease.py
@@ -33,15 +33,15 @@
     """Lease times of one member.
 
     `ttl_us`: lifetime of a lease without renewal; `max_drift_us`: maximum drift between two members' clocks
-    within one ttl; `renew_us`: interval between renewals; `ask_us`: how long to wait for an answer before
-    the request is repeated; `stagger_us`: extra delay of this member before it requests a takeover, so that
-    members do not all request it at once.
+    within one ttl; `renew_us`: interval between renewals; `answer_timeout_us`: how long to wait for an answer
+    before the request is repeated; `stagger_us`: extra delay of this member before it requests a takeover, so
+    that members do not all request it at once.
     """
 
     ttl_us: int
     max_drift_us: int
     renew_us: int
-    ask_us: int
+    answer_timeout_us: int
     stagger_us: int = 0
 
     def __post_init__(self) -> None:
@@ -51,7 +51,7 @@
             raise TimesError("renewals must come before ttl - max_drift", key="renew")
 
 
-def bears(timing: Timing, holder_rate: float, other_rate: float) -> bool:
+def within_drift_bound(timing: Timing, holder_rate: float, other_rate: float) -> bool:
     """Whether two clocks of these rates stay within the drift bound: holder and successor never overlap."""
     return timing.ttl_us * (1 - holder_rate / other_rate) <= timing.max_drift_us
 
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class Submit:
     """Submit this command and pass its number to `LeaseClient.command_sent`."""
 
     command: Command
@@ -88,7 +88,7 @@
     why: str
 
 
-Action = Ask | Begin | End
+Action = Submit | Begin | End
 
 
 class LeaseClient:
@@ -159,7 +159,7 @@
             if holding and answer.why == "token":
                 return self._end("lost", now)
             self.phase = self.phase if holding else Phase.WAITING
-            self._next_command_at = now + self.timing.ask_us // 2
+            self._next_command_at = now + self.timing.answer_timeout_us // 2
             return self.tick(now)
         valid_until = sent_at + self.timing.ttl_us - self.timing.max_drift_us
         self._next_command_at = sent_at + self.timing.renew_us
@@ -178,16 +178,16 @@
             if now >= self._valid_until:
                 return self._end("lapsed", now)
             if not self.wanted:
-                return [Ask(Release(self.duty, self.member, self._token)), *self._end("released", now)]
+                return [Submit(Release(self.duty, self.member, self._token)), *self._end("released", now)]
             if now >= self._next_command_at:
-                self._next_command_at = now + self.timing.ask_us
-                return [Ask(Renew(self.duty, self.member, self._token))]
+                self._next_command_at = now + self.timing.answer_timeout_us
+                return [Submit(Renew(self.duty, self.member, self._token))]
             return []
         if self.wanted and now >= self._acquire_at():
-            self.phase, self._next_command_at = Phase.ASKING, now + self.timing.ask_us
+            self.phase, self._next_command_at = Phase.ASKING, now + self.timing.answer_timeout_us
             if self._takeover is None or self._takeover[0] != self.seen.mark:
                 self._takeover = self.seen.mark, now
-            return [Ask(Acquire(self.duty, self.member, self.seen.mark))]
+            return [Submit(Acquire(self.duty, self.member, self.seen.mark))]
         return []
 
     def next_at(self) -> int | None:
@@ -206,7 +206,7 @@
         self.phase, self._unchanged_since, self._next_command_at = (
             Phase.WAITING,
             now,
-            now + self.timing.ask_us,
+            now + self.timing.answer_timeout_us,
         )
         self._sent_at.clear()
         return [End(self.duty, self._token, why)]
--- a/stackrouter/coord/lease_driver.py
+++ b/stackrouter/coord/lease_driver.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
-from stackrouter.coord.lease import Action, Ask, Begin, End, LeaseClient, Timing
+from stackrouter.coord.lease import Action, Begin, End, LeaseClient, Submit, Timing
 from stackrouter.coord.log_lines import log_event
 from stackrouter.coord.port import Answered, Coordination, Lease, Release
 from stackrouter.core.counters import Counters
@@ -14,12 +14,14 @@
     """Submits the lease clients' commands to the store and passes the answers back. `clock`: microseconds,
     with the properties that `lease.py` requires."""
 
-    def __init__(self, duties: Sequence[str], life: str, store: Coordination, timing: Timing,
+    def __init__(self, duties: Sequence[str], incarnation: str, store: Coordination, timing: Timing,
                  counters: Counters, clock: Callable[[], int]) -> None:  # fmt: skip
-        """`life`: a name unique to this process of the member."""
+        """`incarnation`: a name unique to this process of the member."""
         self._store, self._counters, self._clock = store, counters, clock
         now = clock()
-        self._clients = {duty: LeaseClient(duty, life, timing, now, store.store_expires) for duty in duties}
+        self._clients = {
+            duty: LeaseClient(duty, incarnation, timing, now, store.store_expires) for duty in duties
+        }
 
     def fencing_token(self, duty: str) -> int | None:
         """The token to act under now; None: do not act. To be called right before each action of the duty."""
@@ -54,10 +56,10 @@
     def _carry_out(self, client: LeaseClient, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
-                case Ask():
+                case Submit():
                     self._counters.add("coord.asks")
                     now = self._clock()  # before the request is sent: the lease is measured from here
-                    number = self._store.ask(action.command)
+                    number = self._store.submit(action.command)
                     if not isinstance(action.command, Release):
                         client.command_sent(number, now)
                 case Begin():
--- a/stackrouter/coord/ledger.py
+++ b/stackrouter/coord/ledger.py
@@ -40,12 +40,12 @@
 
 MAX_DUTIES = 64  # bounds the memory that a peer with invented duty names can use
 MAX_ENTRIES = 1024  # of the log: the latest are kept
-MOST_NODES = 20_000
-MOST_VERSIONS = 8  # of the policy: the newest are kept, for members that rejoin and for rollbacks
+MAX_NODES = 20_000
+MAX_VERSIONS = 8  # of the policy: the newest are kept, for members that rejoin and for rollbacks
 MAX_POLICY_SIZE = 256 * 1024
 MAX_MEMBERS = 64
-MOST_REPORTS = 64  # of replicas: the latest are kept
-MOST_REPORTED = 16  # versions and names in one report
+MAX_REPORTS = 64  # of replicas: the latest are kept
+MAX_REPORT_ITEMS = 16  # versions and names in one report
 MAX_IDENTITY_CHARS = 64
 
 
@@ -66,7 +66,7 @@
         if command.base is not None and int(command.listing["index"]) < self.index:
             return "older"  # a whole list is always accepted: discovery may have restarted
         count = len(command.listing["endpoints"]) + (len(self.items) if command.base is not None else 0)
-        return "size" if count > MOST_NODES else ""
+        return "size" if count > MAX_NODES else ""
 
     def take(self, command: Publish) -> None:
         """Apply a listing that `refusal` accepts."""
@@ -171,11 +171,11 @@
 
     def _barrier(self, command: Barrier) -> str:
         report = command.report
-        if max(len(report.by_version), len(report.behind)) > MOST_REPORTED:
+        if max(len(report.by_version), len(report.behind)) > MAX_REPORT_ITEMS:
             return "size"
         self.reports.pop(command.member, None)
         self.reports[command.member] = report
-        while len(self.reports) > MOST_REPORTS:
+        while len(self.reports) > MAX_REPORTS:
             del self.reports[next(iter(self.reports))]
         return ""
 
@@ -192,7 +192,7 @@
         if len(command.body) > MAX_POLICY_SIZE:
             return "size", []
         version = Version(command.base + 1, command.digest, command.body, command.after_us, command.member)
-        self.policies = retained([*self.policies, version], self.active)
+        self.policies = retained_versions([*self.policies, version], self.active)
         return "", [PolicySeen(version, self._next_number())]
 
     def lease(self, duty: str) -> Lease:
@@ -228,9 +228,9 @@
         return [LeaseSeen(lease)]
 
 
-def retained(versions: list[Version], active: int) -> list[Version]:
+def retained_versions(versions: list[Version], active: int) -> list[Version]:
     """The newest versions and the active one, which every starting member has to learn."""
-    if len(versions) <= MOST_VERSIONS:
+    if len(versions) <= MAX_VERSIONS:
         return versions
     oldest = next(version for version in versions if version.number != active)
     return [version for version in versions if version is not oldest]
--- a/stackrouter/coord/member.py
+++ b/stackrouter/coord/member.py
@@ -17,7 +17,7 @@
 from stackrouter.coord.lease import Timing
 from stackrouter.coord.lease_driver import LeaseDriver
 from stackrouter.coord.log_lines import log, log_event
-from stackrouter.coord.policy import PolicyStateMachine, Rules
+from stackrouter.coord.policy import HeartbeatRules, PolicyStateMachine
 from stackrouter.coord.policy_driver import PolicyDriver
 from stackrouter.coord.port import (
     ActiveSeen,
@@ -33,7 +33,7 @@
 from stackrouter.coord.waiting_commands import WaitingCommands
 from stackrouter.coord.watch_driver import WatchDriver
 from stackrouter.core.counters import Counters
-from stackrouter.errors import defect
+from stackrouter.errors import log_unexpected
 from stackrouter.net.discovery import Discovery
 
 WATCH, QUOTA = "watch", "quota"
@@ -50,18 +50,18 @@
 
 
 class Member:
-    """One member of the fleet. `life`: `name` with a suffix unique to this process; `term`: term and leader
-    as last reported; `duties`: those that this member may hold, `watch` among them."""
+    """One member of the fleet. `incarnation`: `name` with a suffix unique to this process; `term`: term and
+    leader as last reported; `duties`: those that this member may hold, `watch` among them."""
 
     def __init__(self, name: str, store: Coordination, timing: Timing, stale_us: int, counters: Counters,
                  clock: Callable[[], int] = boottime_us, duties: Sequence[str] = DUTIES) -> None:  # fmt: skip
         """`stale_us`: how long the holder of `watch` may be silent; `clock`: microseconds."""
         # An earlier process with the same name must not be mistaken for this one.
-        self.name, self.life = name, f"{name}#{os.getpid():x}.{time.time_ns() & 0xFFFFFFFF:x}"
+        self.name, self.incarnation = name, f"{name}#{os.getpid():x}.{time.time_ns() & 0xFFFFFFFF:x}"
         self.store, self.counters, self.clock = store, counters, clock
         self.term = TermSeen(0, "")
-        self._leases = LeaseDriver(duties, self.life, store, timing, counters, clock)
-        self._watch = WatchDriver(WATCH, self.life, store, self._leases, stale_us, counters, clock)
+        self._leases = LeaseDriver(duties, self.incarnation, store, timing, counters, clock)
+        self._watch = WatchDriver(WATCH, self.incarnation, store, self._leases, stale_us, counters, clock)
         self._policy: PolicyDriver | None = None  # None: each member serves under its own policy file
         self._commands = WaitingCommands(store)
         self._subscribers: list[Callable[[Event], None]] = []
@@ -84,7 +84,7 @@
         """Call `handler` with every event of the store, in order, before this member processes it."""
         self._subscribers.append(handler)
 
-    def keep_policy(self, rules: Rules, take: Callable[[str], None]) -> None:
+    def keep_policy(self, rules: HeartbeatRules, take: Callable[[str], None]) -> None:
         """Serve under the fleet's policy. `take` applies a version's settings here, or raises."""
         self._policy = PolicyDriver(self.name, self.store, rules, take, self.counters, self.clock)
 
@@ -93,9 +93,9 @@
         """The state of the fleet's policy on this member; None: `keep_policy` was not called."""
         return None if self._policy is None else self._policy.state
 
-    def holds_back(self) -> bool:
+    def refuses_requests(self) -> bool:
         """Whether new requests must be refused now: this member cannot know which policy is in force."""
-        return self._policy is not None and self._policy.holds_back()
+        return self._policy is not None and self._policy.refuses_requests()
 
     def not_ready(self) -> str:
         """Why this member is not ready, for the admin socket; empty: it is ready."""
@@ -126,9 +126,9 @@
         """How long this gateway need not query discovery; 0: query it now."""
         return self._watch.wait_s()
 
-    def told(self, base: int | None, listing: dict[str, Any]) -> None:
+    def listing_received(self, base: int | None, listing: dict[str, Any]) -> None:
         """Process discovery's answer to this gateway's own call."""
-        self._watch.told(base, listing)
+        self._watch.listing_received(base, listing)
 
     # The member's loop.
 
@@ -139,7 +139,7 @@
                 self._step()
             except Exception:  # a fault in coordination must not stop the gateway, which can serve without it
                 self.counters.add("errors.coord")
-                defect(log, "coordination")
+                log_unexpected(log, "coordination")
                 gevent.sleep(DEFECT_PAUSE_S)
             self._wake_event.wait(self._pause_s())
 
--- a/stackrouter/coord/policy.py
+++ b/stackrouter/coord/policy.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class HeartbeatRules:
     """`validity_us`: how long an answered heartbeat is valid, from when it was sent; `max_drift_us`: the part
     of that left unused to allow for clock drift; `refuse`: accept no new requests without a valid heartbeat.
     """
@@ -57,7 +57,7 @@
 class PolicyStateMachine:
     """One member's view of the policy: which version is committed, active and served under here."""
 
-    rules: Rules
+    rules: HeartbeatRules
     serving: Version = field(default_factory=lambda: Version(OWN, "", "", 0))
     since: int = 0  # when it was applied here
     failed: int = 0  # number of a version that could not be applied here: no request is served under it
@@ -105,12 +105,12 @@
         return max(due)
 
     def next_version(self) -> Version | None:
-        """The version to apply now, if any; the newest of several. Report the result to `version_taken`."""
+        """The version to apply now, if any; the newest of several. Report the result to `version_applied`."""
         due = [n for n in self._pending if n <= self._active]
         versions = [self._pending.pop(n)[1] for n in sorted(due)]
         return versions[-1] if versions else None
 
-    def version_taken(self, version: Version, now: int, succeeded: bool) -> None:
+    def version_applied(self, version: Version, now: int, succeeded: bool) -> None:
         if succeeded:
             self.serving, self.since, self.failed = version, now, 0
         else:
--- a/stackrouter/coord/policy_driver.py
+++ b/stackrouter/coord/policy_driver.py
@@ -6,24 +6,24 @@
 from collections.abc import Callable
 
 from stackrouter.coord.log_lines import log, log_event
-from stackrouter.coord.policy import PolicyStateMachine, Rules, Version
+from stackrouter.coord.policy import HeartbeatRules, PolicyStateMachine, Version
 from stackrouter.coord.port import Activate, Answered, Coordination, Present
 from stackrouter.core.counters import Counters
-from stackrouter.errors import ConfigError, PolicyTakeError, tell
+from stackrouter.errors import ConfigError, PolicyTakeError, log_error
 
 
 class PolicyDriver:
     """`state`: which version is committed, active and served under here. `clock`: microseconds, with the
     properties that `policy.py` requires."""
 
-    def __init__(self, member: str, store: Coordination, rules: Rules, take: Callable[[str], None],
+    def __init__(self, member: str, store: Coordination, rules: HeartbeatRules, take: Callable[[str], None],
                  counters: Counters, clock: Callable[[], int]) -> None:  # fmt: skip
         """`take` applies a version's settings here, or raises a ConfigError or a ValueError."""
         self.state = PolicyStateMachine(rules)
         self._member, self._store, self._apply = member, store, take
         self._counters, self._clock = counters, clock
 
-    def holds_back(self) -> bool:
+    def refuses_requests(self) -> bool:
         """Whether new requests must be refused now: this member cannot know which policy is in force."""
         return not self.state.serves(self._clock())
 
@@ -53,7 +53,7 @@
         if self.state.heartbeat_due(now):
             self._send_heartbeat(now)
         if (number := self.state.activation_due(now)) is not None:
-            self._store.ask(Activate(self._member, number))
+            self._store.submit(Activate(self._member, number))
         if (version := self.state.next_version()) is not None:
             self._apply_version(version, now)
 
@@ -63,7 +63,7 @@
 
     def _send_heartbeat(self, now: int) -> None:
         served_s = (now - self.state.since) // 1_000_000
-        number = self._store.ask(Present(self._member, self.state.serving.number, served_s))
+        number = self._store.submit(Present(self._member, self.state.serving.number, served_s))
         self.state.heartbeat_sent(number, now)
 
     def _apply_version(self, version: Version, now: int) -> None:
@@ -71,9 +71,9 @@
             self._apply(version.body)
         except (ConfigError, ValueError) as error:  # validated where it was proposed, but may not fit here
             self._counters.add("policy.failed")
-            tell(log, PolicyTakeError(error), f"policy.failed version={version.number}", logging.ERROR)
-            self.state.version_taken(version, now, False)
+            log_error(log, PolicyTakeError(error), f"policy.failed version={version.number}", logging.ERROR)
+            self.state.version_applied(version, now, False)
             return
         self._counters.add("policy.taken")
         log_event("policy.taken", version=version.number, digest=version.digest[:12])
-        self.state.version_taken(version, now, True)
+        self.state.version_applied(version, now, True)
--- a/stackrouter/coord/port.py
+++ b/stackrouter/coord/port.py
@@ -267,7 +267,7 @@
     def start(self, wake: Callable[[], None]) -> None:
         """Start; `wake` is called, from any thread, whenever `events` has something to return."""
 
-    def ask(self, command: Command) -> int:
+    def submit(self, command: Command) -> int:
         """Submit a command and return its number at once; the answer may never come."""
 
     def events(self) -> list[Event]:
--- a/stackrouter/coord/quota.py
+++ b/stackrouter/coord/quota.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class QuotaParameters:
     """Parameters of the allocation.
 
     `floor`: the part of each limit that is divided evenly and needs no grant; `headroom`: factor on a
@@ -105,7 +105,7 @@
 class Allocator:
     """Answers members' reports with grants. `token`: of this allocator's lease."""
 
-    def __init__(self, terms: Terms, token: int, now: int) -> None:
+    def __init__(self, terms: QuotaParameters, token: int, now: int) -> None:
         self._terms, self._token, self._since = terms, token, now
         self._number = 0
         self._members: dict[str, _MemberRecord] = {}
@@ -147,10 +147,10 @@
             del self._members[name]
 
 
-class Holder:
+class GrantHolder:
     """The member's side: which part of each limit it may admit now."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: QuotaParameters) -> None:
         self._terms = terms
         self._grant = Grant(0, 0, {})
         self._until = 0
@@ -160,7 +160,7 @@
         parts = self._grant.parts if now < self._until else {}
         return Report(member, wants, self._grant.token, self._grant.number, parts)
 
-    def granted(self, grant: Grant, sent_at: int, now: int) -> bool:
+    def apply_grant(self, grant: Grant, sent_at: int, now: int) -> bool:
         """Apply the answer to the report that was sent at `sent_at`. False: it came too late, is from a
         superseded allocator, or is older than the grant in force."""
         until = sent_at + self._terms.ttl_us - self._terms.max_drift_us
--- a/stackrouter/coord/raft.py
+++ b/stackrouter/coord/raft.py
@@ -52,7 +52,7 @@
     StateReplaced,
     TermSeen,
 )
-from stackrouter.errors import StoreError, defect, tell
+from stackrouter.errors import StoreError, log_error, log_unexpected
 
 log = logging.getLogger(__name__)
 
@@ -189,7 +189,7 @@
         self._wake = wake
         self._thread.start()
 
-    def ask(self, command: Command) -> int:
+    def submit(self, command: Command) -> int:
         self._last_number += 1
         number, group = self._last_number, self._group
         if group is None:
@@ -263,7 +263,7 @@
                     self._emit([StateReplaced(self._group.ledger.state())])
                 self._check_leader()
             except Exception:  # malformed data from a peer must not stop the member
-                defect(log, "coordination")
+                log_unexpected(log, "coordination")
                 self._closing.wait(self._tick_s)
         if self._group is not None:
             self._group._doDestroy()
@@ -277,7 +277,7 @@
             others = [_DialedNode(peer) for peer in self._peers]
             self._group = _Group(TCPNode(self._local.address), others, self._conf, self._emit)
         except Exception as error:
-            tell(log, StoreError(error, address=self._conf.bindAddress), "coordination")
+            log_error(log, StoreError(error, address=self._conf.bindAddress), "coordination")
             return False
         return True
 
--- a/stackrouter/coord/waiting_commands.py
+++ b/stackrouter/coord/waiting_commands.py
@@ -19,7 +19,7 @@
         """Submit a command and wait up to `within_s` seconds. Returns why it was refused; empty: it was
         applied; None: no answer within that time."""
         waiting: AsyncResult[str] = AsyncResult()
-        number = self._store.ask(command)
+        number = self._store.submit(command)
         self._waiting[number] = waiting
         try:
             return waiting.get(timeout=within_s)
--- a/stackrouter/coord/watch.py
+++ b/stackrouter/coord/watch.py
@@ -28,8 +28,8 @@
 class Verdict(enum.Enum):
     """What to do with a published listing."""
 
-    TAKE = "take"
-    LEAVE = "leave"
+    APPLY = "take"
+    IGNORE = "leave"
     GAP = "gap"  # it is based on a version that this member has not seen: the whole list is needed first
 
 
@@ -50,23 +50,23 @@
         watcher_alive = self.last_applied_at is not None and now - self.last_applied_at < self.stale_us
         return Role.FOLLOW if watcher_alive else Role.ALONE
 
-    def asked(self, index: int) -> None:
+    def queried(self, index: int) -> None:
         """Record the version of a list that this member got from discovery itself."""
         self.index = index
 
-    def takes(self, now: int, token: int, base: int | None, index: int) -> Verdict:
+    def verdict_on(self, now: int, token: int, base: int | None, index: int) -> Verdict:
         """Decide on a published listing. Only an applied one counts as a sign of life of the watcher, so that
         a member that cannot follow queries discovery itself `stale_us` after the last one it applied."""
         if self.index < 0:
-            return Verdict.LEAVE  # at a start the journal replays old listings: discovery is queried first
+            return Verdict.IGNORE  # at a start the journal replays old listings: discovery is queried first
         if token < self.token:
-            return Verdict.LEAVE  # from a superseded watcher
+            return Verdict.IGNORE  # from a superseded watcher
         if base is not None and base > self.index:
             return Verdict.GAP
         if index < self.index:
-            return Verdict.LEAVE  # older than this member's list
+            return Verdict.IGNORE  # older than this member's list
         self.token, self.last_applied_at, self.index = token, now, index
-        return Verdict.TAKE
+        return Verdict.APPLY
 
     def stale_at(self) -> int | None:
         """When the watcher will have been silent for too long; None: no listing was applied yet."""
--- a/stackrouter/coord/watch_driver.py
+++ b/stackrouter/coord/watch_driver.py
@@ -19,10 +19,10 @@
 class WatchDriver:
     """Connects this gateway's discovery with the fleet: publishes its answers or follows published ones."""
 
-    def __init__(self, duty: str, life: str, store: Coordination, leases: LeaseDriver, stale_us: int,
+    def __init__(self, duty: str, incarnation: str, store: Coordination, leases: LeaseDriver, stale_us: int,
                  counters: Counters, clock: Callable[[], int]) -> None:  # fmt: skip
         """`duty`: its holder queries discovery; `stale_us`: how long the holder may be silent."""
-        self._duty, self._life, self._store, self._leases = duty, life, store, leases
+        self._duty, self._incarnation, self._store, self._leases = duty, incarnation, store, leases
         self._counters, self._clock = counters, clock
         self._follower = Follower(stale_us)
         self._discovery: Discovery | None = None
@@ -43,12 +43,12 @@
             return MAX_WAIT_S
         return min(MAX_WAIT_S, max(MIN_WAIT_S, (stale_at - now) / 1e6))
 
-    def told(self, base: int | None, listing: dict[str, Any]) -> None:
+    def listing_received(self, base: int | None, listing: dict[str, Any]) -> None:
         """Process discovery's answer to this gateway's own call."""
-        self._follower.asked(int(listing["index"]))
+        self._follower.queried(int(listing["index"]))
         token = self._leases.fencing_token(self._duty)
         if token is not None:
-            self._published = self._store.ask(Publish(self._duty, self._life, token, base, listing))
+            self._published = self._store.submit(Publish(self._duty, self._incarnation, token, base, listing))
             self._counters.add("coord.published")
 
     def answered(self, event: Answered) -> None:
@@ -61,14 +61,14 @@
         if self._discovery is None or self._leases.fencing_token(self._duty) == event.token:
             return  # published by this member
         listing = event.listing
-        verdict = self._follower.takes(now, event.token, event.base, int(listing["index"]))
+        verdict = self._follower.verdict_on(now, event.token, event.base, int(listing["index"]))
         if verdict is Verdict.GAP and (whole := self._store.listing()) is not None:
             token, listing = whole  # its base was missed: the ledger has the whole list
-            verdict = self._follower.takes(now, token, None, int(listing["index"]))
-        if verdict is not Verdict.TAKE:
+            verdict = self._follower.verdict_on(now, token, None, int(listing["index"]))
+        if verdict is not Verdict.APPLY:
             return
         self._counters.add("coord.listings")
-        self._discovery.follow(listing)
+        self._discovery.apply_relayed(listing)
 
     def _refused(self, why: str) -> None:
         """Process the refusal of this watcher's Publish: either the whole list is needed first, or its lease
@@ -76,4 +76,5 @@
         self._counters.add("coord.publish_refused")
         log_event("coord.publish refused", why=why)
         if why in ("gap", "older") and self._discovery is not None:
-            self._discovery.move(self._discovery.address)  # restart the watch: it would return only changes
+            # Restart the watch: it would return only changes.
+            self._discovery.change_address(self._discovery.address)
--- a/stackrouter/core/engine.py
+++ b/stackrouter/core/engine.py
@@ -1,6 +1,7 @@
 """The engine that runs the decision module: one greenlet feeds it events and executes its actions.
 
-Other greenlets reach the engine only through its queue (`submit`, `withdraw`, `ended`, `listed`, `retune`).
+Other greenlets reach the engine only through its queue (`submit`, `withdraw`, `attempt_ended`,
+`update_nodes`, `retune`).
 """
 
 from __future__ import annotations
@@ -33,11 +34,11 @@
     NodeEntry,
     NodeState,
     Outcome,
+    ProcessesChanged,
     Refuse,
     Send,
     SetTimer,
     Settings,
-    SharersChanged,
     Subscribe,
     Timer,
     Withdrawn,
@@ -49,7 +50,7 @@
 from stackrouter.core.violations import ViolationLog
 from stackrouter.core.wheel import Timer as WheelTimer
 from stackrouter.core.wheel import Wheel
-from stackrouter.errors import ActionError, defect, tell
+from stackrouter.errors import ActionError, log_error, log_unexpected
 
 log = logging.getLogger(__name__)
 
@@ -83,13 +84,13 @@
         self.transport: Transport | None = None
         self.fetch_list: Callable[[], None] = lambda: None
         # Called for each new request; true refuses it. None: requests are never held back.
-        self.held: Callable[[], bool] | None = None
+        self.intake_blocked: Callable[[], bool] | None = None
         # Called with the number of serving processes of this gateway whenever that number changes.
-        self.on_sharers_changed: Callable[[int], None] = lambda sharers: None
+        self.on_process_count_changed: Callable[[int], None] = lambda process_count: None
         self._shared_limits = shared
         if shared is not None:
-            self.gate.charge_valid = shared.may_draw
-            shared.on_claims(self.violations.limits.claimed)
+            self.gate.charge_valid = shared.may_spend
+            shared.set_claim_callback(self.violations.limits.claimed)
         self.controller = Controller(settings, shared or LimitBuckets(settings.max_units, track_writes=True))
         self.requests: dict[str, Request] = {}
         self.nodes: dict[str, Node] = {}
@@ -112,7 +113,7 @@
         self._queue.put((self._retune, (settings,)))
 
     def _retune(self, settings: Settings) -> None:
-        self.settings = self.controller.s = settings
+        self.settings = self.controller.settings = settings
         self.violations.plans = settings.plans
         if self._shared_limits is not None:
             self._shared_limits.settings = settings
@@ -125,14 +126,14 @@
         """Queues the withdrawal of a request whose client has disconnected."""
         self._queue.put((self._withdraw, (request,)))
 
-    def ended(self, attempt: Attempt, reply: Reply) -> None:
+    def attempt_ended(self, attempt: Attempt, reply: Reply) -> None:
         """Queues the outcome of an attempt; called by the transport."""
-        self._queue.put((self._ended, (attempt, reply)))
+        self._queue.put((self._attempt_ended, (attempt, reply)))
 
-    def listed(self, kind: ListKind, version: int, entries: Sequence[NodeEntry],
-               addresses: dict[str, tuple[str, int]]) -> None:  # fmt: skip
+    def update_nodes(self, kind: ListKind, version: int, entries: Sequence[NodeEntry],
+                     addresses: dict[str, tuple[str, int]]) -> None:  # fmt: skip
         """Queues a list of nodes from discovery; `addresses` has one address for each entry's node."""
-        self._queue.put((self._listed, (kind, version, entries, addresses)))
+        self._queue.put((self._update_nodes, (kind, version, entries, addresses)))
 
     def stop(self) -> None:
         """Called at SIGTERM: later requests are answered before the platform may kill the process."""
@@ -149,7 +150,7 @@
     def subscribe(self, subscriber: facts.Subscriber) -> None:
         """Passes every later fact to the subscriber, in the order in which the engine observed them."""
         if self.tap is None:
-            self.tap, self.controller.held = facts.Tap(), []
+            self.tap, self.controller.token_waits = facts.Tap(), []
         self.tap.subscribers.append(subscriber)
 
     def idle(self) -> bool:
@@ -174,7 +175,7 @@
                 alarm.start(self._queue.put, WAKE_UP)
             self._handle_queued([self._queue.get()])
 
-    def turn(self) -> None:
+    def process_events(self) -> None:
         """Handles everything queued and every timer that is due."""
         self._handle_queued([])
 
@@ -191,21 +192,21 @@
         """Handles queued calls before due timers: an attempt whose answer has arrived has not timed out."""
         self._now = self.clock()
         if self._shared_limits is not None:
-            self._shared_limits.refresh(self._now)
+            self._shared_limits.scan_processes(self._now)
         calls = [partial(call, *values) for call, values in batch]
         for call in calls + self._wheel.advance(self._now):
             try:
                 call()
             except Exception:
                 self.counters.add("errors.engine")
-                defect(log, "engine")
+                log_unexpected(log, "engine")
         for _ in range(MAX_ROUNDS):
             if self._shared_limits is not None:
                 self._collect_shared_events(self._shared_limits)
             if not self._events:
                 if self._overdue_requests:
                     self._fail_overdue()
-                elif self._shared_limits is None or not self._shared_limits.exchange(self._now):
+                elif self._shared_limits is None or not self._shared_limits.exchange_claims(self._now):
                     return
             events, self._events = self._events, []
             try:
@@ -213,7 +214,7 @@
             except Exception:
                 # The decisions for this batch are lost; its requests end when their backstop timer fires.
                 self.counters.add("errors.module")
-                defect(log, "decision module")
+                log_unexpected(log, "decision module")
                 continue
             if self.tap is not None:
                 self._publish_held(self.tap)
@@ -222,19 +223,19 @@
                     self._execute(action)
                 except Exception:
                     self.counters.add("errors.action")
-                    defect(log, f"executing action {type(action).__name__}")
+                    log_unexpected(log, f"executing action {type(action).__name__}")
 
     def _collect_shared_events(self, shared: SharedLimits) -> None:
         for event in shared.events():
-            if isinstance(event, SharersChanged):
-                self.on_sharers_changed(event.sharers)
+            if isinstance(event, ProcessesChanged):
+                self.on_process_count_changed(event.process_count)
             self._events.append(event)
 
     def _publish_held(self, tap: facts.Tap) -> None:
-        for request_id, wait in self.controller.held or ():
+        for request_id, wait in self.controller.token_waits or ():
             tap(facts.Held(self._now, int(request_id), -1 if wait == math.inf else math.ceil(wait)))
-        if self.controller.held:
-            self.controller.held.clear()
+        if self.controller.token_waits:
+            self.controller.token_waits.clear()
 
     # --- handlers of queued calls
 
@@ -254,7 +255,7 @@
             self.counters.add("requests.over_at_stop")
             self._answer(request, Result(Verdict.REFUSED, pause_us=0))
             return
-        if len(self.requests) >= self.max_open or (self.held is not None and self.held()):
+        if len(self.requests) >= self.max_open or (self.intake_blocked is not None and self.intake_blocked()):
             self.counters.add("requests.over_max_open")
             pause_us = min(min(c.aim_us for c in self.settings.classes), self.settings.retry_after_most_us)
             self._answer(request, Result(Verdict.REFUSED, pause_us=pause_us))
@@ -295,8 +296,8 @@
             self._events.append(Withdrawn(request.id))
             self._forget(request)
 
-    def _listed(self, kind: ListKind, version: int, entries: Sequence[NodeEntry],
-                addresses: dict[str, tuple[str, int]]) -> None:  # fmt: skip
+    def _update_nodes(self, kind: ListKind, version: int, entries: Sequence[NodeEntry],
+                      addresses: dict[str, tuple[str, int]]) -> None:  # fmt: skip
         self.counters.add(f"lists.{kind.name.lower()}")
         if self.tap is not None:
             self.tap(facts.Listed(self._now, kind, version, tuple(entries)))
@@ -326,13 +327,13 @@
                 self.transport.close_idle(node.name)
         self._events.append(ListUpdate(kind, tuple(entries), version))
 
-    def _ended(self, attempt: Attempt, reply: Reply) -> None:
+    def _attempt_ended(self, attempt: Attempt, reply: Reply) -> None:
         if not attempt.live:
             return  # given up before: the module already has its outcome
         request, served = attempt.request, reply.outcome is Outcome.DONE
         attempt.live = False
         cancel_timer(attempt.timeout)
-        del request.out[attempt.number]
+        del request.in_flight[attempt.number]
         if attempt.may_have_run and reply.outcome is not Outcome.FULL:
             request.first_run_us = (
                 attempt.sent_us
@@ -370,14 +371,14 @@
             f"{node.name} ({node.state.name.lower()}): {reply.outcome.value}{why} after {after_ms} ms"
         )
 
-    def _give_up(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _abort(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.live:
             if self.transport:
-                self.transport.give_up(attempt)
-            # No effective step was written whole: the node never got the request, so the timeout is not
+                self.transport.abort(attempt)
+            # No step that may run was written whole: the node never got the request, so the timeout is not
             # evidence about the node.
             never_ran = outcome is Outcome.TIMEOUT and not attempt.may_have_run
-            self._ended(attempt, Reply(Outcome.MOOT if never_ran else outcome))
+            self._attempt_ended(attempt, Reply(Outcome.MOOT if never_ran else outcome))
 
     def _answer(self, open_request: Request, result: Result) -> None:
         if open_request.answered:
@@ -397,7 +398,7 @@
         self._forget(open_request)
 
     def _forget(self, request: Request) -> None:
-        if request.answered and not request.out:
+        if request.answered and not request.in_flight:
             cancel_timer(request.backstop)
             self.requests.pop(request.id, None)
 
@@ -418,8 +419,8 @@
                 if request := self.requests.get(request_id):
                     self._answer(request, Result(Verdict.FAILED))
             case Cancel(request_id, number):
-                if (request := self.requests.get(request_id)) and (attempt := request.out.get(number)):
-                    self._give_up(attempt, Outcome.CANCELLED)
+                if (request := self.requests.get(request_id)) and (attempt := request.in_flight.get(number)):
+                    self._abort(attempt, Outcome.CANCELLED)
             case Disconnect(name):
                 if self.transport:
                     self.transport.close_idle(name)
@@ -431,7 +432,7 @@
                 log.info("module: %s", text)
             case _:
                 self.counters.add("errors.action")
-                tell(
+                log_error(
                     log,
                     ActionError(f"the settings do not allow {type(action).__name__}"),
                     level=logging.ERROR,
@@ -443,7 +444,7 @@
             self._events.append(Answer(request_id, 0, name, Outcome.MOOT, True))
             return
         if spends and self._shared_limits is not None:
-            request.charge = self._shared_limits.charge(self._now)
+            request.reservation = self._shared_limits.reservation(self._now)
         denial = self.gate.may_start(request, node, self.settings.max_attempts, self._now)
         number, request.attempts = request.attempts, request.attempts + 1
         if denial is not None or node is None or self.transport is None:
@@ -454,9 +455,9 @@
             self._events.append(Answer(request.id, number, name, Outcome.MOOT, request.answered))
             return
         deadline_us = min(request.deadline_us, self._now + timeout_us) if timeout_us else request.deadline_us
-        attempt = request.out[number] = Attempt(request, number, node, self._now, deadline_us)
+        attempt = request.in_flight[number] = Attempt(request, number, node, self._now, deadline_us)
         self.counters.add("attempts.started")
         if self.tap is not None:
             self.tap(facts.Sent(self._now, int(request.id), number, name, timeout_us))
-        attempt.timeout = self._wheel.add(deadline_us, lambda: self._give_up(attempt, Outcome.TIMEOUT))
+        attempt.timeout = self._wheel.add(deadline_us, lambda: self._abort(attempt, Outcome.TIMEOUT))
         self.transport.start(attempt)
--- a/stackrouter/core/facts.py
+++ b/stackrouter/core/facts.py
@@ -12,7 +12,7 @@
 
 from rackseam.interface import ListKind, NodeEntry, Outcome
 from stackrouter.core.model import Verdict
-from stackrouter.errors import defect
+from stackrouter.errors import log_unexpected
 
 log = logging.getLogger(__name__)
 
@@ -114,5 +114,5 @@
             try:
                 subscriber(fact)
             except Exception:
-                defect(log, "a subscriber to facts failed and was removed")
+                log_unexpected(log, "a subscriber to facts failed and was removed")
                 self.subscribers.remove(subscriber)
--- a/stackrouter/core/gate.py
+++ b/stackrouter/core/gate.py
@@ -96,7 +96,7 @@
         idempotency key."""
         if request.repeat_window_us is None:
             return None
-        started_us = [attempt.sent_us for attempt in request.out.values() if attempt.may_have_run]
+        started_us = [attempt.sent_us for attempt in request.in_flight.values() if attempt.may_have_run]
         if request.first_run_us is not None:
             started_us.append(request.first_run_us)
         if not started_us or now_us < min(started_us) + request.repeat_window_us:
@@ -131,20 +131,20 @@
         return self.may_repeat(request, now_us)
 
     def may_write(
-        self, attempt: Attempt, address: tuple[str, int], begun: bool, client_left: bool, now_us: int
+        self, attempt: Attempt, address: tuple[str, int], begun: bool, client_hung_up: bool, now_us: int
     ) -> Denial | None:
         """Whether the attempt's next byte may be written to a connection that leads to `address`.
 
-        `client_left`: the client's connection is closed, even if the session has not noticed it yet.
+        `client_hung_up`: the client's connection is closed, even if the session has not noticed it yet.
         `begun`: the first byte has been written. During a drain a send counts from its first byte, so the
         node's state is checked only before that byte; a node starts a request at its last byte, so everything
         else is checked every time.
         """
-        if client_left:
+        if client_hung_up:
             return Denial.CLIENT_GONE
         request = attempt.request
-        needs_no_charge = request.units_spent or request.charge is None
-        if not needs_no_charge and not self.charge_valid(request.charge, now_us):
+        needs_no_charge = request.units_spent or request.reservation is None
+        if not needs_no_charge and not self.charge_valid(request.reservation, now_us):
             return Denial.CHARGE_EXPIRED
         if not begun:
             if attempt.address != address:
@@ -158,7 +158,7 @@
             return Denial.DEADLINE_PASSED
         return None if attempt.may_have_run else self.may_repeat(request, now_us)
 
-    def wait_told_us(self, attempt: Attempt, now_us: int) -> int:
+    def stated_wait_us(self, attempt: Attempt, now_us: int) -> int:
         """The wait that is stated to the node: never more than the time that the client has left."""
         return max(0, min(attempt.deadline_us, attempt.request.deadline_us) - now_us)
 
--- a/stackrouter/core/limit_check.py
+++ b/stackrouter/core/limit_check.py
@@ -35,7 +35,7 @@
             at, other, claimed = self._claims.popleft()
             self._spend(other, claimed, at)
         level = self._spend(part, units, now)
-        return max(0.0, -level - part.tolerance - SLACK_US * part.rate)
+        return max(0.0, -level - part.tolerance - SLACK_US * part.units_per_us)
 
     def _spend(self, part: LimitPart, units: float, now: int) -> float:
         if part.key not in self._buckets.buckets:
--- a/stackrouter/core/model.py
+++ b/stackrouter/core/model.py
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Bytes to write to a node. `effective`: once all of them are written, the request may have run."""
+    """Bytes to write to a node. `may_run`: once all of them are written, the request may have run."""
 
     data: bytes
-    effective: bool
+    may_run: bool
 
 
 class Inbox(Protocol):
@@ -66,7 +66,7 @@
 class Exchange(Protocol):
     """The protocol exchange of one attempt with a node; a front creates one for each attempt."""
 
-    needs: int  # minimum size of the incoming answer in bytes, as far as it is known
+    min_inbox_bytes: int  # minimum size of the incoming answer in bytes, as far as it is known
 
     def start(self, wait_us: int, fresh: bool) -> Step:
         """Returns the first bytes to write; `fresh`: nothing was sent on this connection before."""
@@ -75,8 +75,8 @@
         """Parses what has arrived: returns more bytes to write, the final reply, or None to wait for more."""
 
 
-def client_stays() -> bool:
-    """Default for `Request.client_left` where there is no connection to inspect: never left."""
+def assume_connected() -> bool:
+    """Default for `Request.client_hung_up` where there is no connection to inspect: never left."""
     return False
 
 
@@ -99,16 +99,16 @@
     write: bool = False
     port: int = 0  # the node port of that protocol; 0: the port given by discovery
     trace_id: str = ""  # the id under which the client knows the request
-    client_left: Callable[[], bool] = client_stays  # whether its connection is closed now
+    client_hung_up: Callable[[], bool] = assume_connected  # whether its connection is closed now
     # Set by the engine only:
     # How long after the first attempt that may have run another may be sent; None: without limit.
     repeat_window_us: int | None = None
     first_run_us: int | None = None  # when the first attempt that has ended and may have run was sent
     units_spent: bool = False  # a node has received it, which spends its units of the volume's limit
-    charge: object = None  # the reservation of its units in a limit shared by processes
+    reservation: object = None  # the reservation of its units in a limit shared by processes
     id: str = ""
     attempts: int = 0
-    out: dict[int, Attempt] = field(default_factory=dict)  # attempts in flight, by number
+    in_flight: dict[int, Attempt] = field(default_factory=dict)  # attempts in flight, by number
     answered: bool = False
     client_gone_us: int | None = None  # when its client disconnected without waiting for the answer
     backstop: Timer | None = None
@@ -134,8 +134,8 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of a request at a node. `live`: its outcome is not known yet; `may_have_run`: an effective step
-    was written whole."""
+    """One try of a request at a node. `live`: its outcome is not known yet; `may_have_run`: a step with
+    `may_run` was written whole."""
 
     request: Request
     number: int
@@ -157,19 +157,19 @@
 
     settings: Settings
 
-    def on_claims(self, tell: Callable[[LimitPart, float, int], None]) -> None:
+    def set_claim_callback(self, callback: Callable[[LimitPart, float, int], None]) -> None:
         """Registers a callback for claims of other processes: limit part, units (below 0: returned), time."""
 
-    def charge(self, now: int) -> object:
+    def reservation(self, now: int) -> object:
         """Returns the reservation of the request whose units have just been reserved in the buckets."""
 
-    def may_draw(self, charge: object, now: int) -> bool:
+    def may_spend(self, charge: object, now: int) -> bool:
         """Whether a request with this reservation may still be sent to a node."""
 
-    def refresh(self, now: int) -> None:
+    def scan_processes(self, now: int) -> None:
         """Called before a batch of events: checks which other processes serve."""
 
-    def exchange(self, now: int) -> bool:
+    def exchange_claims(self, now: int) -> bool:
         """Called after a batch: claims the units that are needed. Returns whether `events` has more to
         handle."""
 
@@ -178,11 +178,11 @@
 
 
 class Transport(Protocol):
-    """Sends attempts to nodes. Each ends with one call of the engine's `ended`, unless given up first."""
+    """Sends attempts to nodes. Each ends with one call of `Engine.attempt_ended`, unless aborted first."""
 
     def start(self, attempt: Attempt) -> None: ...
 
-    def give_up(self, attempt: Attempt) -> None:
+    def abort(self, attempt: Attempt) -> None:
         """Closes the attempt's connection at once, before anything more is sent."""
 
     def close_idle(self, node: str) -> None: ...
--- a/stackrouter/core/violations.py
+++ b/stackrouter/core/violations.py
@@ -15,7 +15,7 @@
 from rackseam.interface import NodeState, Plan
 from stackrouter.core.counters import Counters
 from stackrouter.core.limit_check import LimitCheck
-from stackrouter.errors import RuleBrokenError, tell
+from stackrouter.errors import RuleBrokenError, log_error
 
 if TYPE_CHECKING:
     from stackrouter.core.model import Attempt, Request
@@ -102,4 +102,4 @@
 
     def _report(self, rule: Rule, request: Request, detail: str) -> None:
         self.counters.add(f"violations.{rule.value}")
-        tell(log, RuleBrokenError(f"request {request.trace_id or request.id}: {detail}", key=rule.value))
+        log_error(log, RuleBrokenError(f"request {request.trace_id or request.id}: {detail}", key=rule.value))
--- a/stackrouter/edge/load.py
+++ b/stackrouter/edge/load.py
@@ -1,7 +1,7 @@
 """Parses and validates the operator's settings file. Every error names the file and the line or field.
 
-`load_apart` does it in a child process that exits afterwards, so that the gateway spends no memory on the
-parsers. Where fork fails, it parses the file in this process.
+`load_in_child_process` does it in a child process that exits afterwards, so that the gateway spends no memory
+on the parsers. Where fork fails, it parses the file in this process.
 """
 
 from __future__ import annotations
@@ -79,7 +79,7 @@
     return parse(text, str(path))
 
 
-def load_apart(path: Path) -> Edge:
+def load_in_child_process(path: Path) -> Edge:
     """Like `load`, without lasting memory use: the parsers are imported in a child process only."""
     read, write = os.pipe()
     try:
--- a/stackrouter/edge/wiring.py
+++ b/stackrouter/edge/wiring.py
@@ -16,7 +16,7 @@
 from stackrouter.config import Config
 from stackrouter.core.engine import Engine, clock_us
 from stackrouter.edge.config import Edge
-from stackrouter.edge.load import load_apart
+from stackrouter.edge.load import load_in_child_process
 from stackrouter.errors import (
     EdgeValueError,
     LeftOutError,
@@ -24,7 +24,7 @@
     NoControlError,
     NoPolicyError,
     TraceWriteError,
-    tell,
+    log_error,
 )
 from stackrouter.fronts.sftp.config import settings as sftp_settings
 from stackrouter.net.pool import Pool
@@ -44,14 +44,14 @@
 FLUSH_INTERVAL_S = 1.0  # maximum time between trace writes, and thus the most that a crash may lose
 
 
-class Extras:
+class OptionalParts:
     """The optional parts of one gateway.
 
     Raises ConfigError if the file is not valid or if an enabled part needs a library that is not installed.
     """
 
     def __init__(self, path: str, config: Config) -> None:
-        self.edge: Edge = load_apart(Path(path))
+        self.edge: Edge = load_in_child_process(Path(path))
         self.config = config
         self.sftp = sftp_settings(config, self.edge.sftp)
         self.live: Live | None = None
@@ -104,7 +104,7 @@
         self.member = join(conf, self.config.name, discovery, counters, take_policy)
         if self.member.policy_state is not None:
             self.calls = PolicyCalls(self.member, conf.policy.after_ms * 1000)
-            engine.held = self.member.holds_back
+            engine.intake_blocked = self.member.refuses_requests
 
     def observe(self, discovery: Discovery, counters: Counters, engine: Engine,
                 take_policy: Callable[[str], None]) -> None:  # fmt: skip
@@ -122,7 +122,7 @@
             raise MissingExtraError(message, key="control") from None
 
         self.control = GatewayControl(self.config.name, conf, discovery, counters, take_policy)
-        engine.held = self.control.holds_back
+        engine.intake_blocked = self.control.refuses_requests
         self.control.start()
 
     def policy_in_force(self) -> bool:
@@ -143,16 +143,16 @@
     def control_status(self) -> str:
         """Answer of the admin socket to `control status`."""
         if self.control is None:
-            return f"FAILURE {NoControlError('this gateway observes no control plane').coded()}"
+            return f"FAILURE {NoControlError('this gateway observes no control plane').with_code()}"
         return self.control.status()
 
     def policy_call(self, call: str) -> str:
         """Answer of the admin socket to `policy ...`."""
         if self.calls is None:
-            return f"FAILURE {NoPolicyError('this gateway keeps no policy of a fleet').coded()}"
+            return f"FAILURE {NoPolicyError('this gateway keeps no policy of a fleet').with_code()}"
         return self.calls.answer(call)
 
-    def leave(self) -> None:
+    def release_duties(self) -> None:
         """Release this gateway's duties as it stops, so that others need not wait for leases to expire."""
         if self.member is not None:
             self.member.leave()
@@ -165,7 +165,7 @@
         if subscribers:
             pool.written = engine.written
         if self.recorder is not None:
-            self.recorder.on_block = self._flush_requested.set
+            self.recorder.on_block_full = self._flush_requested.set
             gevent.spawn(self._write_trace, self.recorder)
 
     def _write_trace(self, recorder: Recorder) -> None:
@@ -176,11 +176,11 @@
             self._flush_requested.clear()
             threads.apply(recorder.flush, (True,))
 
-    def print_figures(self) -> None:
+    def print_summary(self) -> None:
         if self.live is not None:
             print(self.live.line(), file=sys.stderr, flush=True)
         if self.recorder is not None and self.recorder.left_out:
-            tell(logger, LeftOutError(f"{self.recorder.left_out} facts left out"), "trace")
+            log_error(logger, LeftOutError(f"{self.recorder.left_out} facts left out"), "trace")
 
     def close(self) -> None:
         if self.member is not None:
--- a/stackrouter/errors.py
+++ b/stackrouter/errors.py
@@ -33,7 +33,7 @@
         self.what = " ".join(str(what).split())  # an error is always shown on one line
         self.file, self.line, self.key, self.address = str(file), line, key, str(address)
 
-    def within(self, file: str) -> StackrouterError:
+    def in_file(self, file: str) -> StackrouterError:
         """A copy of the error that names the file, for callers that know it."""
         return type(self)(self.what, **(self.where() | {"file": file}))
 
@@ -49,13 +49,13 @@
         places = {"file": self.file, "line": self.line, "key": self.key, "address": self.address}
         return {name: place for name, place in places.items() if place}
 
-    def coded(self) -> str:
+    def with_code(self) -> str:
         """Code, location and what happened, as log lines and admin answers show it."""
         return f"{self.code}: {self}"
 
-    def whole(self) -> str:
+    def one_line(self) -> str:
         """One line for an exit or a command: code, location, what happened, what to do."""
-        return f"{self.coded()}. {self.do}"
+        return f"{self.with_code()}. {self.do}"
 
     def fields(self) -> dict[str, Any]:
         """The error as a JSON object."""
@@ -71,13 +71,15 @@
     return cls(what, **where)
 
 
-def tell(log: logging.Logger, error: StackrouterError, doing: str = "", level: int = logging.WARNING) -> None:
+def log_error(
+    log: logging.Logger, error: StackrouterError, doing: str = "", level: int = logging.WARNING
+) -> None:
     """Writes one log line: code, the operation in progress (`doing`), location, what happened."""
     extra = {"code": error.code, **{f"at_{name}": place for name, place in error.where().items()}}
     log.log(level, "%s: %s%s", error.code, f"{doing}: " if doing else "", error, extra=extra)
 
 
-def defect(log: logging.Logger, doing: str) -> None:
+def log_unexpected(log: logging.Logger, doing: str) -> None:
     """Logs an unexpected exception with its traceback; called where it is caught so that the gateway
     continues."""
     log.exception("%s: %s", InternalError.code, doing, extra={"code": InternalError.code})
--- a/stackrouter/fleet/backend.py
+++ b/stackrouter/fleet/backend.py
@@ -8,8 +8,8 @@
 from stackrouter.fleet.options import HarnessOptions
 from stackrouter.standins.clients import StandinClients
 from stackrouter.standins.discovery import StandinDiscovery, entry
-from stackrouter.standins.fleet import Scene, habits, settings
-from stackrouter.standins.node import Nature, StandinNode
+from stackrouter.standins.fleet import Scene, settings, volume_loads
+from stackrouter.standins.node import NodeBehavior, StandinNode
 
 NODE_COUNT = 6
 MIN_LOAD = 0.1  # load that the limits are computed from when a run has no clients
@@ -21,12 +21,12 @@
     def __init__(self, options: HarnessOptions) -> None:
         self._seed = options.seed
         self._scene = Scene(options.members, NODE_COUNT, options.seed, options.load or MIN_LOAD, "none")
-        self._usual_units_per_s, self._habits, _ = habits(self._scene)
+        self._usual_units_per_s, self._volume_loads, _ = volume_loads(self._scene)
         provisioned = {
-            h.volume: self._usual_units_per_s * (2 if h.plan == "priority" else 1) for h in self._habits
+            h.volume: self._usual_units_per_s * (2 if h.plan == "priority" else 1) for h in self._volume_loads
         }
         self.nodes = [
-            StandinNode(f"s-{i + 1}", i, Nature(), options.seed, provisioned) for i in range(NODE_COUNT)
+            StandinNode(f"s-{i + 1}", i, NodeBehavior(), options.seed, provisioned) for i in range(NODE_COUNT)
         ]
         self.discovery = StandinDiscovery(
             [entry(n.name, n.address, n.shard, "hall-a", "std") for n in self.nodes]
@@ -43,7 +43,7 @@
 
     def start_clients(self, ports: Sequence[int]) -> None:
         """Starts clients that send requests to the members on these ports until `stop_clients`."""
-        self.clients = StandinClients(self._habits, [("127.0.0.1", port) for port in ports], self._seed)
+        self.clients = StandinClients(self._volume_loads, [("127.0.0.1", port) for port in ports], self._seed)
 
     def stop_clients(self) -> None:
         """Stops the clients, if they were started."""
--- a/stackrouter/fleet/check.py
+++ b/stackrouter/fleet/check.py
@@ -123,7 +123,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Served:
+class VersionSample:
     """A sample: the policy version that a member would have served a request under at that time."""
 
     sampled_ns: int  # machine's monotonic clock
@@ -146,7 +146,9 @@
     samples: int
 
 
-def check_policy(samples: Sequence[Served], ledgers: Sequence[Sequence[tuple[int, str]]]) -> PolicyVerdict:
+def check_policy(
+    samples: Sequence[VersionSample], ledgers: Sequence[Sequence[tuple[int, str]]]
+) -> PolicyVerdict:
     """Checks the samples of a run. `ledgers`: the committed versions and digests of each status response."""
     committed: dict[int, str] = {}
     twins: set[int] = set()
--- a/stackrouter/fleet/figures.py
+++ b/stackrouter/fleet/figures.py
@@ -269,7 +269,7 @@
         handoff_ms = options.ttl_ms + options.election_ms + HANDOFF_SLACK_MS
         return cls(handoff_ms, split_ms, "skew-beyond" not in options.kinds)
 
-    def judged(self, values: dict[str, Any]) -> dict[str, Any]:
+    def with_verdict(self, values: dict[str, Any]) -> dict[str, Any]:
         """These figures with the bounds added, and `ok`: whether they keep to the bounds."""
         holds = not (values["overlaps"] or values["failed"] or values["unfinished"])
         holds = holds and not values.get("harnesses_unfinished")
--- a/stackrouter/fleet/links.py
+++ b/stackrouter/fleet/links.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from stackrouter.fleet.proxy import Link, Way
+from stackrouter.fleet.proxy import Direction, Link
 
 DELAY_S = 0.08  # each chunk is delayed by 0.5 to 1.5 times this
 LOSS_RATIO = 0.2  # of the chunks
@@ -33,9 +33,11 @@
         for (a, b), link in self._links.items():
             if i not in (a, b):
                 continue
-            outbound, inbound = (link.there, link.back) if i == a else (link.back, link.there)
-            for way in [outbound] if kind == "oneway" else [outbound, inbound]:
-                _impair(way, kind, on)
+            outbound, inbound = (
+                (link.to_target, link.from_target) if i == a else (link.from_target, link.to_target)
+            )
+            for direction in [outbound] if kind == "oneway" else [outbound, inbound]:
+                _impair(direction, kind, on)
 
     def close(self) -> None:
         """Stops listening on all links."""
@@ -43,10 +45,10 @@
             link.close()
 
 
-def _impair(way: Way, kind: str, on: bool) -> None:
+def _impair(direction: Direction, kind: str, on: bool) -> None:
     if kind in ("partition", "oneway"):
-        way.cut(on)
+        direction.cut(on)
     elif kind == "delay":
-        way.delay_s = DELAY_S if on else 0.0
+        direction.delay_s = DELAY_S if on else 0.0
     else:
-        way.loss = LOSS_RATIO if on else 0.0
+        direction.loss = LOSS_RATIO if on else 0.0
--- a/stackrouter/fleet/member_files.py
+++ b/stackrouter/fleet/member_files.py
@@ -44,9 +44,9 @@
 
 def member_places(count: int, ports: Ports, folder: Path) -> list[MemberPlace]:
     """Allocates places for `count` members, named g1, g2 and so on."""
-    addresses = [f"127.0.0.1:{ports.take()}" for _ in range(count)]
-    client_ports = [ports.take() for _ in range(count)]
-    admin_ports = [ports.take() for _ in range(count)]
+    addresses = [f"127.0.0.1:{ports.allocate()}" for _ in range(count)]
+    client_ports = [ports.allocate() for _ in range(count)]
+    admin_ports = [ports.allocate() for _ in range(count)]
     return [
         MemberPlace(f"g{i + 1}", addresses[i], client_ports[i], admin_ports[i], folder) for i in range(count)
     ]
--- a/stackrouter/fleet/ports.py
+++ b/stackrouter/fleet/ports.py
@@ -29,7 +29,7 @@
             return
         raise StartError("no port range is free for another harness")
 
-    def take(self) -> int:
+    def allocate(self) -> int:
         """The next port that has not been handed out."""
         return next(self._free)
 
--- a/stackrouter/fleet/proxy.py
+++ b/stackrouter/fleet/proxy.py
@@ -16,7 +16,7 @@
 RESET_RATIO = 0.1  # of the lost chunks: the connection is reset instead
 
 
-class Way:
+class Direction:
     """One direction of a link, with the faults that apply to it: `delay_s` and `loss`, a ratio of chunks."""
 
     def __init__(self, rng: Random) -> None:
@@ -36,7 +36,7 @@
         """Blocks while this direction is cut."""
         self._open.wait()
 
-    def pass_on(self, data: bytes, send: Callable[[bytes], object]) -> None:
+    def forward(self, data: bytes, send: Callable[[bytes], object]) -> None:
         """Sends the data, subject to the faults. Raises ConnectionResetError if one resets the connection."""
         if self.loss and self._rng.random() < self.loss:
             if self._rng.random() < RESET_RATIO:
@@ -53,7 +53,7 @@
 
     def __init__(self, target: tuple[str, int], rng: Random) -> None:
         self._target = target
-        self.there, self.back = Way(rng), Way(rng)
+        self.to_target, self.from_target = Direction(rng), Direction(rng)
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
         self.address = f"127.0.0.1:{self._server.server_port}"
@@ -62,18 +62,18 @@
         self._server.stop(timeout=0)
 
     def _serve(self, near: socket.socket, _: object) -> None:
-        self.there.wait()  # no connection is established over a cut link
-        self.back.wait()
+        self.to_target.wait()  # no connection is established over a cut link
+        self.from_target.wait()
         with contextlib.suppress(OSError), socket.create_connection(self._target, timeout=1.0) as far:
             far.settimeout(None)
             for sock in (near, far):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            pumps = [gevent.spawn(self._pump, near, far, self.there),
-                     gevent.spawn(self._pump, far, near, self.back)]  # fmt: skip
+            pumps = [gevent.spawn(self._pump, near, far, self.to_target),
+                     gevent.spawn(self._pump, far, near, self.from_target)]  # fmt: skip
             gevent.joinall(pumps, count=1)  # a close by either end closes both connections
             gevent.killall(pumps)
 
-    def _pump(self, source: socket.socket, sink: socket.socket, way: Way) -> None:
+    def _pump(self, source: socket.socket, sink: socket.socket, direction: Direction) -> None:
         with contextlib.suppress(OSError):
             while data := source.recv(CHUNK_BYTES):
-                way.pass_on(data, sink.sendall)
+                direction.forward(data, sink.sendall)
--- a/stackrouter/fleet/receiver.py
+++ b/stackrouter/fleet/receiver.py
@@ -8,7 +8,7 @@
 from gevent.server import StreamServer
 
 from stackrouter.coord.fence import Fence
-from stackrouter.fleet.check import Action, Served
+from stackrouter.fleet.check import Action, VersionSample
 
 MAX_LINE_CHARACTERS = 256
 
@@ -20,7 +20,7 @@
     def __init__(self, fenced: bool) -> None:
         self._fence, self._fenced = Fence(), fenced
         self.actions: list[Action] = []
-        self.served: list[Served] = []
+        self.served: list[VersionSample] = []
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
         self.address = f"127.0.0.1:{self._server.server_port}"
@@ -41,7 +41,7 @@
         for line in sock.makefile("r", encoding="ascii", errors="replace"):
             words = line[:MAX_LINE_CHARACTERS].split()
             if len(words) == 5 and words[0] == "serve" and words[1].isdigit() and words[3].isdigit():
-                self.served.append(Served(int(words[3]), int(words[1]), words[4], words[2]))
+                self.served.append(VersionSample(int(words[3]), int(words[1]), words[4], words[2]))
             elif len(words) == 4 and words[1].isdigit() and words[3].isdigit():
                 self._record_action(words[0], int(words[1]), words[2], int(words[3]))
 
--- a/stackrouter/fleet/run.py
+++ b/stackrouter/fleet/run.py
@@ -68,7 +68,7 @@
     """The clients' responses by verdict; `slowest_ms` covers the last 500 responses of each volume."""
     if harness.backend.clients is None:
         return {}
-    results = list(harness.backend.clients.told.values())
+    results = list(harness.backend.clients.results.values())
     verdicts = sum((result.verdicts for result in results), Counter[str]())
     slowest_s = max(max(result.recent, default=0.0) for result in results)
     return dict(verdicts) | {"slowest_ms": round(1000 * slowest_s, 1)}
--- a/stackrouter/fleet/scale/files.py
+++ b/stackrouter/fleet/scale/files.py
@@ -10,7 +10,7 @@
 from stackrouter.fleet.scale.layout import RealPlace, ReplicaPlace
 from stackrouter.fleet.scale.options import ELECTION_MS, LEASE_DRIFT_MS, LEASE_MS, ScaleOptions
 from stackrouter.standins.discovery import Entry, entry
-from stackrouter.standins.fleet import HALLS, Scene, settings
+from stackrouter.standins.fleet import ZONES, Scene, settings
 
 USUAL_RATE = 50.0
 SHARDS = 4
@@ -103,7 +103,7 @@
     """The list of storage nodes. None of them exists: a scale run sends no requests."""
     return [
         entry(f"s-{i + 1}", f"127.{1 + i // THIRD_OCTETS}.{i % THIRD_OCTETS}.1:{NODE_PORT}", i % SHARDS,
-              HALLS[i % len(HALLS)], "std")
+              ZONES[i % len(ZONES)], "std")
         for i in range(count)
     ]  # fmt: skip
 
--- a/stackrouter/fleet/scale/harness.py
+++ b/stackrouter/fleet/scale/harness.py
@@ -47,7 +47,7 @@
         self._ports = Ports()
         self.discovery = StandinDiscovery(storage_nodes(options.nodes))
         self.replica_ports = {
-            place.name: ReplicaPorts(self._ports.take(), self._ports.take(), self._ports.take())
+            place.name: ReplicaPorts(self._ports.allocate(), self._ports.allocate(), self._ports.allocate())
             for place in layout.replicas
         }
         self.network = Network(
@@ -173,7 +173,7 @@
         return self._make_gateway(real.name, position, {"GW_EDGE": str(file)})
 
     def _make_gateway(self, name: str, position: int, environ: dict[str, str]) -> Child:
-        listen, admin = self._ports.take(), self._ports.take()
+        listen, admin = self._ports.allocate(), self._ports.allocate()
         self.admin_ports[name] = admin
         file = self.folder / f"{name}.json"
         known = self.discovery.listing()
--- a/stackrouter/fleet/scale/hollow.py
+++ b/stackrouter/fleet/scale/hollow.py
@@ -24,7 +24,7 @@
 from stackrouter.controlplane.observer import GatewayIdentity, TakeNodes
 from stackrouter.controlplane.routing import ReplicaAddress
 from stackrouter.coord.member import boottime_us
-from stackrouter.coord.policy import PolicyStateMachine, Rules, Version
+from stackrouter.coord.policy import HeartbeatRules, PolicyStateMachine, Version
 from stackrouter.fleet.scale.files import Reach
 from stackrouter.fleet.scale.judge import FinalState, Served, Taken
 from stackrouter.fleet.scale.measure import LATENESS_STEP_S, Lateness
@@ -67,8 +67,8 @@
         return cls(**raw | {"replicas": [Reach(**reach) for reach in raw["replicas"]]})
 
     @property
-    def rules(self) -> Rules:
-        return Rules(self.touch_ms * 1000, self.drift_ms * 1000)
+    def rules(self) -> HeartbeatRules:
+        return HeartbeatRules(self.touch_ms * 1000, self.drift_ms * 1000)
 
 
 class EarlyPolicy(PolicyStateMachine):
@@ -167,13 +167,13 @@
             self,
             self._rng,
             self._clock,
-            version_taken=self._version_taken,
+            version_applied=self._version_applied,
         )
         if self.name in setup.early:
             client.policy = client.observer.policy = EarlyPolicy(setup.rules)
         return client
 
-    def _version_taken(self, version: Version, good: bool, now: int) -> None:
+    def _version_applied(self, version: Version, good: bool, now: int) -> None:
         if not good:
             return
         self._report(Taken(self.name, "policy", version.number, version.digest, time.monotonic_ns()))
--- a/stackrouter/fleet/scale/network.py
+++ b/stackrouter/fleet/scale/network.py
@@ -10,19 +10,19 @@
 from collections.abc import Callable
 from random import Random
 
-from stackrouter.fleet.proxy import Link, Way
+from stackrouter.fleet.proxy import Direction, Link
 from stackrouter.fleet.scale.layout import Layout, RealPlace, ReplicaPlace
 
 
-class CountedWay(Way):
+class CountedDirection(Direction):
     """One direction of a link, counting the bytes it forwards."""
 
     def __init__(self, rng: Random) -> None:
         super().__init__(rng)
         self.bytes = 0
 
-    def pass_on(self, data: bytes, send: Callable[[bytes], object]) -> None:
-        super().pass_on(data, send)
+    def forward(self, data: bytes, send: Callable[[bytes], object]) -> None:
+        super().forward(data, send)
         self.bytes += len(data)
 
 
@@ -31,12 +31,12 @@
 
     def __init__(self, target: tuple[str, int], rng: Random) -> None:
         super().__init__(target, rng)
-        self._counted_ways = CountedWay(rng), CountedWay(rng)
-        self.there, self.back = self._counted_ways
+        self._counted_directions = CountedDirection(rng), CountedDirection(rng)
+        self.to_target, self.from_target = self._counted_directions
 
     @property
     def bytes(self) -> int:
-        return sum(way.bytes for way in self._counted_ways)
+        return sum(direction.bytes for direction in self._counted_directions)
 
 
 class Network:
@@ -88,8 +88,8 @@
         """Block or unblock all traffic over links between this region and the others."""
         for one, other, link in self._links:
             if one != other and region in (one, other):
-                link.there.cut(is_cut)
-                link.back.cut(is_cut)
+                link.to_target.cut(is_cut)
+                link.from_target.cut(is_cut)
 
     def _add_link(self, one: str, other: str, port: int) -> Link:
         link = Link(("127.0.0.1", port), self._rng)
--- a/stackrouter/fleet/schedule.py
+++ b/stackrouter/fleet/schedule.py
@@ -24,7 +24,7 @@
 }
 CLOCKS = ("skew", "skew-beyond")  # lease clock rates differ, within or beyond the drift bound
 KINDS = (*SPANS, *CLOCKS)
-DEFAULT = tuple(kind for kind in KINDS if kind != "skew-beyond")
+DEFAULT_KINDS = tuple(kind for kind in KINDS if kind != "skew-beyond")
 
 
 @dataclass(frozen=True, slots=True)
