--- a/stackrouter/fronts/platform/client.py
+++ b/stackrouter/fronts/platform/client.py
@@ -14,16 +14,16 @@
 from rackseam.interface import Effect, Settings
 from stackrouter.core.counters import Counters
 from stackrouter.core.engine import Engine, clock_us
-from stackrouter.core.model import Inbox, Request, Result, Verdict, client_stays
-from stackrouter.errors import ClientCommandError, tell
+from stackrouter.core.model import Inbox, Request, Result, Verdict, assume_connected
+from stackrouter.errors import ClientCommandError, log_error
 from stackrouter.fronts.platform import resp
 from stackrouter.fronts.platform.node import Command
-from stackrouter.net.listener import INBOX, MalformedError, Patience
+from stackrouter.net.listener import INBOX_BYTES, ClientTimeouts, MalformedError
 from stackrouter.ops.drain import Drain
 
 WIRE = "platform"
 # Malformed and idle connections must be closed within 3 s; other clients reconnect as needed.
-PATIENCE = Patience(request_s=2.2, idle_s=2.2)
+CLIENT_TIMEOUTS = ClientTimeouts(request_s=2.2, idle_s=2.2)
 MAX_PIPELINED = 32  # commands of one connection that may wait for their answers
 READ, WRITE = b"BLK.READ", b"BLK.WRITE"
 BUSY = resp.error("BUSY")
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Names:
+class RequestContext:
     """Indexes of classes and plans by name, bounds of requests, ids of open requests, and the drain state
     that PING reports. `classes` and `settings` change at SIGHUP (see ops.retune)."""
 
@@ -45,7 +45,7 @@
     shards: int  # 0: not configured
     open_ids: set[bytes] = field(default_factory=set)
     drain: Drain = field(default_factory=Drain)
-    unchecked: set[int] = field(default_factory=set)  # classes without a configured write flag
+    classes_without_write_flag: set[int] = field(default_factory=set)  # not configured for these
 
 
 HEX_ID = re.compile(rb"[0-9a-fA-F]{16}")  # ids of data pieces and volumes
@@ -58,7 +58,7 @@
     """The command is invalid; it is answered with an error and the connection stays open."""
 
 
-def parse_request(parts: list[bytes], names: Names, answer: Callable[[Result], None]) -> Request:
+def parse_request(parts: list[bytes], names: RequestContext, answer: Callable[[Result], None]) -> Request:
     """Convert a BLK command to a core request; raises BadCommandError if no node could use it."""
     name = parts[0].upper()
     if len(parts) != (5 if name == WRITE else 4):
@@ -85,7 +85,9 @@
     if request_class is None or plan is None:
         raise BadCommandError("unknown class or plan")
     settings, profile = names.settings, names.settings.classes[request_class]
-    checked = request_class not in names.unchecked and any(each.writes for each in settings.classes)
+    checked = request_class not in names.classes_without_write_flag and any(
+        each.writes for each in settings.classes
+    )
     if checked and profile.writes != (name == WRITE):
         raise BadCommandError("the class is not for this command")
     key = fields.get("k", "")
@@ -156,9 +158,11 @@
 class PlatformSession:
     """The platform's session of one client connection (see `net.listener.Session`)."""
 
-    def __init__(self, engine: Engine, names: Names, counters: Counters, wake: Callable[[], None]) -> None:
+    def __init__(
+        self, engine: Engine, names: RequestContext, counters: Counters, wake: Callable[[], None]
+    ) -> None:
         self._engine, self._names, self._counters, self._wake = engine, names, counters, wake
-        self.client_left = client_stays
+        self.client_hung_up = assume_connected
         self._slots: deque[_Slot] = deque()
 
     def received(self, inbox: Inbox) -> None:
@@ -166,7 +170,7 @@
             try:
                 value = resp.parse(inbox)
             except resp.ShortError as short:
-                if short.need > INBOX:
+                if short.need > INBOX_BYTES:
                     raise MalformedError(resp.error("ERR Protocol error: command too long")) from None
                 return
             except resp.ProtocolError as error:
@@ -183,7 +187,7 @@
             slot = _Slot()
             try:
                 request = parse_request(parts, self._names, lambda result: self._set_answer(slot, result))
-                request.client_left = self.client_left
+                request.client_hung_up = self.client_hung_up
                 # Protects the open request: nodes would treat this one as another attempt of it.
                 if parts[2] in self._names.open_ids:
                     raise BadCommandError("a request with this id is open")
@@ -192,7 +196,7 @@
                 # Limited so that a faulty client cannot fill the log.
                 if self._counters["clients.bad_command"] <= MAX_LOGGED_BAD_COMMANDS:
                     fields = parts[3][:120] if len(parts) > 3 else b""
-                    tell(log, ClientCommandError(error), f"bad command {fields!r}")
+                    log_error(log, ClientCommandError(error), f"bad command {fields!r}")
                 slot.parts = deque((resp.error(f"ERR {error}"),))
             else:
                 slot.request, slot.id = request, parts[2]
@@ -234,7 +238,7 @@
     def full(self) -> bool:
         return len(self._slots) >= MAX_PIPELINED
 
-    def gone(self) -> None:
+    def on_disconnect(self) -> None:
         for slot in self._slots:
             if slot.request is not None:
                 self._engine.withdraw(slot.request)
--- a/stackrouter/fronts/platform/node.py
+++ b/stackrouter/fronts/platform/node.py
@@ -33,16 +33,16 @@
 
     def __init__(self, command: Command) -> None:
         self._command = command
-        self.needs = 0
+        self.min_inbox_bytes = 0
 
     def start(self, wait_us: int, fresh: bool) -> Step:
-        return Step(self._command.encode(max(1, -(-wait_us // 1000))), effective=True)
+        return Step(self._command.encode(max(1, -(-wait_us // 1000))), may_run=True)
 
     def received(self, inbox: Inbox) -> Reply | None:
         try:
             return parse_reply(resp.parse(inbox, resp.MAX_ANSWER_BYTES))
         except resp.ShortError as short:
-            self.needs = short.need
+            self.min_inbox_bytes = short.need
             return None
         except resp.ProtocolError:
             return Reply(Outcome.ERROR)  # malformed answer: the node is alive, and has run the request
--- a/stackrouter/fronts/sftp/client.py
+++ b/stackrouter/fronts/sftp/client.py
@@ -14,17 +14,17 @@
 
 from stackrouter.core.counters import Counters
 from stackrouter.core.engine import Engine, clock_us
-from stackrouter.core.model import Inbox, Request, Result, Verdict, client_stays
+from stackrouter.core.model import Inbox, Request, Result, Verdict, assume_connected
 from stackrouter.fronts.sftp import packets
 from stackrouter.fronts.sftp.config import SftpConfig, Volume
 from stackrouter.fronts.sftp.keys import ATTRIBUTES, EXISTENCE, WHOLE, Extent, Keys, overlap
 from stackrouter.fronts.sftp.node import Operation
 from stackrouter.fronts.sftp.packets import Fields, Flag, Packet, Status, Type, string, u32, u64
-from stackrouter.net.listener import MalformedError, Patience
+from stackrouter.net.listener import ClientTimeouts, MalformedError
 
 WIRE = "sftp"
 # Closing a connection loses the session's handles, and people pause between commands.
-PATIENCE = Patience(request_s=10.0, idle_s=600.0)
+CLIENT_TIMEOUTS = ClientTimeouts(request_s=10.0, idle_s=600.0)
 MAX_PENDING = 32  # requests of one connection that may wait for their answers
 MAX_HANDLES = 256
 MAX_READDIR_BYTES = 32 * 1024  # of entries in one answer to READDIR
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class Shared:
+class SftpContext:
     """State shared by all sessions of the front."""
 
     config: SftpConfig
@@ -90,9 +90,9 @@
 class SftpSession:
     """The SFTP session of one client connection (see `net.listener.Session`)."""
 
-    def __init__(self, shared: Shared, wake: Callable[[], None]) -> None:
+    def __init__(self, shared: SftpContext, wake: Callable[[], None]) -> None:
         self._shared, self._wake = shared, wake
-        self.client_left = client_stays
+        self.client_hung_up = assume_connected
         self._ready: deque[bytes] = deque()
         self._jobs: list[Job] = []
         self._handles: dict[bytes, Handle] = {}
@@ -121,7 +121,7 @@
     def full(self) -> bool:
         return self.pending() >= MAX_PENDING
 
-    def gone(self) -> None:
+    def on_disconnect(self) -> None:
         for job in self._jobs:
             if job.started:
                 self._shared.engine.withdraw(job.request)
@@ -201,7 +201,7 @@
                 wire=WIRE,
                 write=change is not None,
                 port=config.node_port,
-                client_left=self.client_left,
+                client_hung_up=self.client_hung_up,
             ),
         )
         self._jobs.append(job)
--- a/stackrouter/fronts/sftp/node.py
+++ b/stackrouter/fronts/sftp/node.py
@@ -43,7 +43,7 @@
 
     def __init__(self, operation: Operation) -> None:
         self._operation, self._id = operation, 0
-        self.needs = 0  # packets are bounded: no larger inbox is needed
+        self.min_inbox_bytes = 0  # packets are bounded: no larger inbox is needed
         self._steps: ExchangeSteps | None = None
 
     def start(self, wait_us: int, fresh: bool) -> Step:
@@ -65,18 +65,18 @@
         except packets.PacketError:
             return Reply(Outcome.ERROR)  # malformed answer: the node is alive, and may have run the operation
 
-    def _step(self, kind: Type, body: bytes, effective: bool = True) -> Step:
+    def _step(self, kind: Type, body: bytes, may_run: bool = True) -> Step:
         self._id += 1
-        return Step(Packet(kind, body, self._id).encode(), effective)
+        return Step(Packet(kind, body, self._id).encode(), may_run)
 
     def _run(self, wait_us: int, fresh: bool) -> ExchangeSteps:
         operation = self._operation
         if fresh:
-            greeting = yield Step(Packet(Type.INIT, u32(packets.VERSION)).encode(), effective=False)
+            greeting = yield Step(Packet(Type.INIT, u32(packets.VERSION)).encode(), may_run=False)
             if greeting.type != Type.VERSION:
                 raise packets.PacketError("INIT was not answered with VERSION")
         attempt_info = string(ATTEMPT) + string(operation.key.encode()) + u32(max(1, -(-wait_us // 1000)))
-        accepted = yield self._step(Type.EXTENDED, attempt_info, effective=False)
+        accepted = yield self._step(Type.EXTENDED, attempt_info, may_run=False)
         figures = []
         if accepted.type == Type.EXTENDED_REPLY:
             figures = [Fields(accepted.body).string()]
--- a/stackrouter/membership/list_changes.py
+++ b/stackrouter/membership/list_changes.py
@@ -2,14 +2,15 @@
 
 Passing a whole list of many thousand nodes to the engine in one call blocks the event loop for as long as
 that takes. `ListChanges` compares each list with what it has given out before and yields only the
-differences, at most `PIECE` entries at a time, so that the caller can let the event loop run in between:
+differences, at most `MAX_PIECE_ENTRIES` entries at a time, so that the caller can let the event loop run in
+between:
 
 - First the nodes that must get no new work (draining or removed), then those that are new or changed; nodes
   that a whole list no longer names come last, after all that it names.
 - A list that arrives while an earlier one is in progress is merged into its remainder: of two entries about
   one node only the newer is given out, and a whole list replaces everything left of an earlier one.
-- A list of at most `PIECE` entries is given out unmodified, if nothing is in progress and a whole one
-  replaces at most `PIECE` nodes.
+- A list of at most `MAX_PIECE_ENTRIES` entries is given out unmodified, if nothing is in progress and a whole
+  one replaces at most `MAX_PIECE_ENTRIES` nodes.
 
 `add` itself makes two passes over the names and states of a whole list; all else is done piece by piece.
 
@@ -25,7 +26,7 @@
 
 from rackseam.interface import ListKind, NodeEntry, NodeState
 
-PIECE: Final = 256  # maximum entries in a piece
+MAX_PIECE_ENTRIES: Final = 256  # maximum entries in a piece
 MAX_COMPARED_PER_PIECE: Final = 256  # bounds the work for a piece when most entries are unchanged
 
 Address = tuple[str, int]  # host and port
@@ -85,7 +86,9 @@
         A cached list is what a gateway starts with: it is given out unmodified, whatever its size.
         """
         self._version = version
-        small = len(entries) <= PIECE and (kind is ListKind.DELTA or len(self._applied) <= PIECE)
+        small = len(entries) <= MAX_PIECE_ENTRIES and (
+            kind is ListKind.DELTA or len(self._applied) <= MAX_PIECE_ENTRIES
+        )
         if kind in (ListKind.FAILED, ListKind.CACHED) or (small and not self.pending):
             self._unmodified.append(Piece(kind, version, entries, addresses))
             if kind is not ListKind.FAILED:
@@ -108,7 +111,7 @@
         compared = 0
         while (
             compared < MAX_COMPARED_PER_PIECE
-            and len(changed) < PIECE
+            and len(changed) < MAX_PIECE_ENTRIES
             and (known := self._next_candidate()) is not None
         ):
             compared += 1
--- a/stackrouter/model/fleet.py
+++ b/stackrouter/model/fleet.py
@@ -73,10 +73,10 @@
 
     def _ended(self, attempt: Attempt, reply: Reply) -> None:
         if self._jobs.pop(attempt, None) is not None:
-            self.engine.ended(attempt, reply)
+            self.engine.attempt_ended(attempt, reply)
             self.fleet.turn(self.engine)
 
-    def give_up(self, attempt: Attempt) -> None:
+    def abort(self, attempt: Attempt) -> None:
         node, job = self._jobs.pop(attempt)
         delay_us = self._delay_us(attempt.node.name)
         self.fleet.clock.at(self.fleet.clock.now + delay_us, node.cancel, job)
@@ -110,7 +110,7 @@
 
     def turn(self, engine: Engine) -> None:
         """Run the engine's turn and schedule its next one for when a timer falls due."""
-        engine.turn()
+        engine.process_events()
         wait = engine.wait_us()
         if wait is not None:
             due = self.clock.now + max(1, wait)
@@ -141,8 +141,8 @@
     def run(self, progress: Callable[[int], None] = lambda now: None) -> None:
         entries = [NodeEntry(name, i, zone=i % ZONE_COUNT) for name, i in self.node_index.items()]
         for engine in self.engines:
-            engine.listed(ListKind.CACHED, 0, entries, dict.fromkeys(self.nodes, ("", 0)))
-            engine.listed(ListKind.FULL, 1, entries, dict.fromkeys(self.nodes, ("", 0)))
+            engine.update_nodes(ListKind.CACHED, 0, entries, dict.fromkeys(self.nodes, ("", 0)))
+            engine.update_nodes(ListKind.FULL, 1, entries, dict.fromkeys(self.nodes, ("", 0)))
             self.turn(engine)
         for arrival in self.traffic.arrivals:
             self.clock.at(arrival.at, self._submit, arrival)
@@ -166,9 +166,9 @@
     verdicts: dict[str, int]
 
 
-def play(seed: int, noisy: Noisy, with_noise: bool = True, gateways: int = 3, nodes: int = 9,
-         length_us: int = 15_000_000, subscribers: Sequence[Subscriber] = (),
-         progress: Callable[[int], None] = lambda now: None) -> Outcomes:  # fmt: skip
+def simulate(seed: int, noisy: Noisy, with_noise: bool = True, gateways: int = 3, nodes: int = 9,
+             length_us: int = 15_000_000, subscribers: Sequence[Subscriber] = (),
+             progress: Callable[[int], None] = lambda now: None) -> Outcomes:  # fmt: skip
     """Run the model once. `subscribers`: one for each gateway, or none."""
     traffic = draw(seed, noisy, with_noise, gateways, nodes, length_us)
     fleet = Fleet(traffic, seed, gateways, nodes)
--- a/stackrouter/model/limits.py
+++ b/stackrouter/model/limits.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from stackrouter.coord.quota import Allocator, Grant, Holder, Report, Terms
+from stackrouter.coord.quota import Allocator, Grant, GrantHolder, QuotaParameters, Report
 
 STEP_US = 5000
 REPORTS_PER_TTL = 8
@@ -90,8 +90,8 @@
         half = within / (2 - within)
         members = scene.members
         self.rates = [1 + self.rng.uniform(-half, half) for _ in range(members)]
-        self.terms = Terms(members, scene.ttl_ms * 1000, scene.drift_ms * 1000)
-        self.holders = [Holder(self.terms) for _ in range(members)]
+        self.terms = QuotaParameters(members, scene.ttl_ms * 1000, scene.drift_ms * 1000)
+        self.holders = [GrantHolder(self.terms) for _ in range(members)]
         self.buckets = [_Bucket(scene.limit, scene.burst) for _ in range(members)]
         self.static = [_Bucket(scene.limit, scene.burst) for _ in range(members)]
         self.demand_units = [0.0] * members  # units of demand since the last report
@@ -178,7 +178,7 @@
                 continue
             if isinstance(message.payload, Grant):
                 member_now = self._clock(i, now)
-                if self.holders[i].granted(message.payload, message.asked_at, member_now):
+                if self.holders[i].apply_grant(message.payload, message.asked_at, member_now):
                     self.buckets[i].shrink(self.holders[i].part(VOLUME, member_now))
             elif stopped:
                 self.in_transit.append(_Message(self.stopped_until, i, message.asked_at, message.payload))
@@ -197,5 +197,5 @@
             self.in_transit.append(_Message(now + self.rng.randint(1000, 60_000), i, asked_at, payload))
 
 
-def play(scene: Scene) -> Figures:
+def simulate(scene: Scene) -> Figures:
     return LimitsModel(scene).run()
--- a/stackrouter/model/recording.py
+++ b/stackrouter/model/recording.py
@@ -10,7 +10,7 @@
 from stackrouter.core.facts import Subscriber
 from stackrouter.model.traffic import settings_for
 from stackrouter.trace.codec import Header, encode
-from stackrouter.trace.format import Place, pack, pack_index
+from stackrouter.trace.format import BlockPosition, pack, pack_index
 
 PLANS, CLASSES = ("basic", "priority"), ("match-read", "turn-write")
 # Wall clock at the start of a run; constant, so that the same seed gives the same bytes.
@@ -24,13 +24,13 @@
     settings = settings_for(gateways, nodes, seed)
     headers = [Header.of(f"g{i}", settings, PLANS, CLASSES, EPOCH_US, 0) for i in range(gateways)]
     buffers: list[list[facts.Fact]] = [[] for _ in headers]
-    places: list[Place] = []
+    places: list[BlockPosition] = []
     first_numbers = [0] * gateways
     with path.open("wb") as file:
 
         def flush(i: int) -> None:
             batch, buffers[i] = buffers[i], []
-            places.append(Place(file.tell(), first_numbers[i]))
+            places.append(BlockPosition(file.tell(), first_numbers[i]))
             file.write(pack(encode(headers[i], first_numbers[i], 0, batch), first_numbers[i]))
             first_numbers[i] += len(batch)
 
--- a/stackrouter/net/discovery.py
+++ b/stackrouter/net/discovery.py
@@ -26,17 +26,18 @@
     SilentError,
     TurnedAwayError,
     UnreachableError,
-    defect,
-    tell,
+    log_error,
+    log_unexpected,
 )
 from stackrouter.membership.call_scheduler import AnswerVerdict, Call, CallScheduler, CallTiming
 from stackrouter.membership.listing import Listing, NodeList
-from stackrouter.net.list_applier import ListHandler, ListTaker, yield_to_event_loop
+from stackrouter.net.list_applier import ListApplier, ListHandler, yield_to_event_loop
 from stackrouter.net.list_call import Address, ListConnection, monotonic_us, remaining_s
 
 log = logging.getLogger(__name__)
 
-WAIT_US = 2_000_000  # how long a watch may stay silent; short, since a change counts as known 2 s after it
+# How long a watch may stay silent; short, since a change counts as known 2 s after it.
+WATCH_WAIT_US = 2_000_000
 # Where lists are polled: how long an answer may take before the call is abandoned. Long, because a call that
 # is abandoned while queued behind those of many gateways costs discovery as much as an answered one.
 CALL_ANSWER_US = 2_500_000
@@ -86,10 +87,15 @@
             AGENT_RETRY_US,
         )
         return CallTiming(
-            WAIT_US, *agent, AGENT_RETRY_US, AGENT_MAX_REFUSED_RETRY_US, AGENT_LATE_ANSWER_US, pushed=True
+            WATCH_WAIT_US,
+            *agent,
+            AGENT_RETRY_US,
+            AGENT_MAX_REFUSED_RETRY_US,
+            AGENT_LATE_ANSWER_US,
+            pushed=True,
         )
     return CallTiming(
-        WAIT_US,
+        WATCH_WAIT_US,
         WATCH_ANSWER_US,
         CALL_ANSWER_US,
         MIN_ANSWER_US,
@@ -110,7 +116,7 @@
     def wait_s(self) -> float:
         """How long this gateway need not call discovery, in seconds; 0: it has to call now."""
 
-    def told(self, base: int | None, listing: dict[str, Any]) -> None:
+    def listing_received(self, base: int | None, listing: dict[str, Any]) -> None:
         """Discovery answered with the changes since version `base`; None: with the whole list."""
 
 
@@ -145,7 +151,7 @@
                  pushed: bool = False) -> None:  # fmt: skip
         """`known`: the version of the list that the process was started with."""
         self.address, self.listing, self.counters, self.pushed = address, listing, counters, pushed
-        self.lists = ListTaker(handler)
+        self.lists = ListApplier(handler)
         self.scheduler = CallScheduler(call_timing(gateways, pushed), random.Random(seed), known)
         self._last_full_size = 0  # nodes in the last whole list
         self._failures = 0  # consecutive failed calls
@@ -162,7 +168,7 @@
         Where lists are pushed, not before the agent had a chance to report what has changed since.
         """
         if not self.pushed or not known.entries:
-            self._take_first(known)
+            self._apply_first_list(known)
             return
         self._startup_list = known
         gevent.spawn_later(START_HOLD_S, self._serve_startup_list)
@@ -171,14 +177,14 @@
         if self._startup_list is not None:
             self.counters.add("discovery.silent_at_start")
             error = SilentError("it may be out of date", address="{}:{}".format(*self.address))
-            tell(log, error, "serving by the list of the start")
+            log_error(log, error, "serving by the list of the start")
             known, self._startup_list = self._startup_list, None
-            self._take_first(known)
+            self._apply_first_list(known)
 
-    def _take_first(self, known: NodeList) -> None:
-        self.lists.take(ListKind.CACHED, known.version, known.entries, known.addresses)
+    def _apply_first_list(self, known: NodeList) -> None:
+        self.lists.apply(ListKind.CACHED, known.version, known.entries, known.addresses)
 
-    def follow(self, raw: dict[str, Any]) -> None:
+    def apply_relayed(self, raw: dict[str, Any]) -> None:
         """Apply a list that another gateway received from discovery and relayed."""
         read = self.listing.read(raw, monotonic_us(), yield_to_event_loop)
         if self.scheduler.accept_relayed(read.version):
@@ -188,7 +194,7 @@
         """Make the next call fetch the whole list."""
         self.scheduler.refetch()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Use a new address: cancel all open calls and fetch the whole list at once."""
         self.address = address
         self.scheduler.address_changed(monotonic_us())
@@ -301,13 +307,13 @@
             return self._accept_answer(call, outcome, read)
         except Exception:  # a defect of this program: keep watching
             self.counters.add("errors.discovery")
-            defect(log, "applying a list from discovery")
+            log_unexpected(log, "applying a list from discovery")
             return True
 
     def _call_failed(self, call: Call, error: Exception) -> None:
         if isinstance(error, TurnedAwayError):
             self.counters.add("discovery.refused")
-            tell(log, error, level=logging.INFO)
+            log_error(log, error, level=logging.INFO)
             self.scheduler.refused(call, monotonic_us())
         elif self.scheduler.failed(call, monotonic_us()):
             self._count_failure(error)
@@ -316,7 +322,7 @@
         self.counters.add("discovery.failed")
         self._failures += 1
         if not self._failures & (self._failures - 1):  # log 1, 2, 4, ...: an outage must not fill the log
-            tell(log, _as_discovery_error(error, self.address), f"discovery, {self._failures} in a row")
+            log_error(log, _as_discovery_error(error, self.address), f"discovery, {self._failures} in a row")
 
     def _cancel_call(self, call: Call) -> None:
         greenlet = self._open_calls.pop(call, None)
@@ -346,7 +352,7 @@
         self.counters.add("discovery.answers")
         self._failures = 0
         if self.fleet is not None:
-            self.fleet.told(None if read.whole else call.index, raw)
+            self.fleet.listing_received(None if read.whole else call.index, raw)
         return True
 
     def _apply(self, read: NodeList) -> None:
@@ -361,7 +367,7 @@
                 len(read.entries), " ".join(stopping[:MAX_LOGGED_NODES]) or "none",
             )  # fmt: skip
         if read.whole or read.entries:
-            self.lists.take(read.kind, read.version, read.entries, read.addresses)
+            self.lists.apply(read.kind, read.version, read.entries, read.addresses)
 
     def _report_anomalies(self, read: NodeList) -> None:
         """Log and count anomalies of a list.
@@ -371,14 +377,14 @@
         nodes, version = len(read.addresses), read.version
         if nodes < len(read.entries):
             self.counters.add("discovery.named_twice")
-            tell(
+            log_error(
                 log,
                 NamedTwiceError(f"version {version} names nodes twice, the last entry counts"),
                 "discovery",
             )
         if read.whole and nodes * 2 < self._last_full_size:
             self.counters.add("discovery.shrunk")
-            tell(
+            log_error(
                 log,
                 ShrunkError(f"version {version} names {nodes} nodes, {self._last_full_size} before"),
                 "discovery",
--- a/stackrouter/net/list_applier.py
+++ b/stackrouter/net/list_applier.py
@@ -22,26 +22,26 @@
     gevent.sleep(0)  # the timer may fire before the sockets of its iteration are served
 
 
-class ListTaker:
+class ListApplier:
     """The only way by which lists reach the engine, both from discovery and from the control plane.
 
     The list in force is known from what has passed through here, so every list has to.
     """
 
     def __init__(self, handler: ListHandler) -> None:
-        """`handler` is called with each piece (`Engine.listed`); it must not switch to another greenlet."""
+        """`handler` is called with each piece (`Engine.update_nodes`); it must not switch greenlets."""
         self._handler = handler
         self._changes = ListChanges()
         self._applying = False
 
-    def take(
+    def apply(
         self, kind: ListKind, version: int, entries: Sequence[NodeEntry], addresses: Mapping[str, Address]
     ) -> None:
         """Apply the changes of this list; `addresses` has the address of each node that `entries` names.
 
-        A list of at most `PIECE` entries is applied before this returns. A longer one is applied in pieces,
-        between which other greenlets run. A list that arrives meanwhile, from any greenlet, is merged into
-        the remainder, and its call returns at once: the first caller applies that too.
+        A list of at most `MAX_PIECE_ENTRIES` entries is applied before this returns. A longer one is applied
+        in pieces, between which other greenlets run. A list that arrives meanwhile, from any greenlet, is
+        merged into the remainder, and its call returns at once: the first caller applies that too.
         """
         self._changes.add(kind, version, entries, addresses)
         if self._applying:
--- a/stackrouter/net/list_call.py
+++ b/stackrouter/net/list_call.py
@@ -16,7 +16,7 @@
 
 REFUSAL_STATUSES = frozenset({429, 503})
 CONNECT_ATTEMPTS: Final = 3  # when a connect fails for lack of resources of this machine
-LARGEST_ANSWER_BYTES = 4 << 20  # a whole list of about 30,000 nodes (2.35 MB at 17,000)
+MAX_ANSWER_BYTES = 4 << 20  # a whole list of about 30,000 nodes (2.35 MB at 17,000)
 
 Address = tuple[str, int]
 
@@ -34,7 +34,7 @@
 
     def on_body(self, body: bytes) -> None:
         self.body += body
-        if len(self.body) > LARGEST_ANSWER_BYTES:
+        if len(self.body) > MAX_ANSWER_BYTES:
             raise NoListError("answer exceeds the size limit")
 
     def on_message_complete(self) -> None:
--- a/stackrouter/net/listener.py
+++ b/stackrouter/net/listener.py
@@ -20,7 +20,7 @@
 from stackrouter.core.counters import Counters
 from stackrouter.core.gate import ClientState, Gate
 from stackrouter.core.model import Inbox
-from stackrouter.errors import defect
+from stackrouter.errors import log_unexpected
 from stackrouter.net.client_socket import ClientSocket
 from stackrouter.net.listen_socket import listen_at
 from stackrouter.net.ring import Ring
@@ -30,7 +30,7 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 1024
-INBOX = 160 * 1024  # a value of 64 KiB in a command with its other parts
+INBOX_BYTES = 160 * 1024  # a value of 64 KiB in a command with its other parts
 OUTBOX_BYTES = 64 * 1024
 WRITE_STALL_S = 10.0  # how long an answer may make no progress because the client does not read
 # Lingering close: after sending has been shut down, what still arrives is discarded within these limits.
@@ -45,7 +45,7 @@
 # A new connection may be about to send its first request, so it is not closed yet to make room.
 NEW_CONNECTION_GRACE_S = 0.1
 # Above this fraction of the cap inactive connections are closed early, so clients hold no more themselves ...
-PRESSED_PART = 0.45
+EARLY_CLOSE_FRACTION = 0.45
 MIN_INACTIVE_S = 0.02  # ... but not before this long after an answer
 ROOM_POLL_S = 0.02
 MAX_ROOM_WAIT_S = 0.5  # how long a new client waits for room before it gets the busy reply
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
+class ClientTimeouts:
     """Time limits for a client; its connection is closed when one is exceeded.
 
     `request_s`: from connecting to the first complete request, and from the first byte of a later request to
@@ -76,9 +76,8 @@
 class Session(Protocol):
     """A front's side of one client connection."""
 
-    client_left: Callable[
-        [], bool
-    ]  # set by the connection: whether the client has closed, even if not yet read
+    # Set by the connection: whether the client has closed, even if not yet read.
+    client_hung_up: Callable[[], bool]
 
     def received(self, inbox: Inbox) -> None:
         """Take complete requests out of the inbox. MalformedError: the stream cannot be parsed."""
@@ -92,7 +91,7 @@
     def full(self) -> bool:
         """Whether reading has to pause until answers have been sent."""
 
-    def gone(self) -> None:
+    def on_disconnect(self) -> None:
         """The client has disconnected."""
 
 
@@ -101,7 +100,7 @@
 
     def __init__(self, sock: ClientSocket, listener: Listener) -> None:
         self._sock, self.listener = sock, listener
-        self.inbox, self.outbox = Ring(INBOX), Ring(OUTBOX_BYTES)
+        self.inbox, self.outbox = Ring(INBOX_BYTES), Ring(OUTBOX_BYTES)
         self.active_at = self.request_since = time.monotonic()
         self.ending = self.closed = self._partial = self._requested = self._input_paused = False
         self.lingering_since: float | None = None  # when sending was shut down; no requests are taken after
@@ -115,7 +114,7 @@
                 connection.wake()
 
         self.session = listener.session(wake)
-        self.session.client_left = sock.hung_up
+        self.session.client_hung_up = sock.hung_up
         # The writer is started with the first answer: many connections never send a request.
         self._greenlets = [gevent.spawn(self._guard, self._read)]
 
@@ -135,14 +134,14 @@
 
     def stalled(self, now: float) -> bool:
         """Whether a limit is exceeded: for clients that never send or finish a request or read an answer."""
-        patience = self.listener.patience
+        timeouts = self.listener.timeouts
         if len(self.outbox):
             return now - self.active_at > WRITE_STALL_S
         if not self.settled():
             return False  # requests taken are answered first, whatever partial one follows
         if not self._requested or len(self.inbox):
-            return not self.ending and now - self.request_since > patience.request_s
-        return self.idle() and now - self.active_at > patience.idle_s and not self._sock.readable()
+            return not self.ending and now - self.request_since > timeouts.request_s
+        return self.idle() and now - self.active_at > timeouts.idle_s and not self._sock.readable()
 
     def closable_for_room(self, now: float) -> bool:
         """Whether it may be closed to make room: no answer is owed and no request is about to arrive."""
@@ -156,8 +155,8 @@
             return False
         owed = not self.settled()
         readable = not owed and (len(self.inbox) > 0 or self._sock.readable())
-        return drain.closes(now, owed=owed, readable=readable,
-                            asked=self._requested, active_at=self.active_at)  # fmt: skip
+        return drain.should_close(now, owed=owed, readable=readable,
+                                  asked=self._requested, active_at=self.active_at)  # fmt: skip
 
     def _is_new(self, now: float) -> bool:
         return not self._requested and now - self.active_at <= NEW_CONNECTION_GRACE_S
@@ -192,7 +191,7 @@
             return
         self.lingering_since = now
         self.ending = True
-        self.session.gone()
+        self.session.on_disconnect()
         try:
             self._sock.end_sending()
         except OSError:
@@ -207,7 +206,7 @@
             return
         self.closed = True
         self.listener.forget(self)
-        self.session.gone()
+        self.session.on_disconnect()
         self._sock.close()
         for greenlet in self._greenlets:
             if greenlet is not gevent.getcurrent():
@@ -221,7 +220,7 @@
             pass
         except Exception:
             self.listener.counters.add("errors.connection")
-            defect(log, "client connection")
+            log_unexpected(log, "client connection")
         else:
             if work == self._write and self.lingering_since is not None:
                 return  # the reader closes it
@@ -318,8 +317,8 @@
 class Listener:
     """Accepts client connections up to a cap, keeps them within their limits and ends them at a stop."""
 
-    def __init__(self, address: tuple[str, int], most: int, counters: Counters,
-                 session: Callable[[Callable[[], None]], Session], patience: Patience,
+    def __init__(self, address: tuple[str, int], max_clients: int, counters: Counters,
+                 session: Callable[[Callable[[], None]], Session], timeouts: ClientTimeouts,
                  busy: bytes, inherited: int | None = None, drain: Drain | None = None,
                  gate: Gate | None = None) -> None:  # fmt: skip
         """`most`: cap on client sockets. `session`: makes a session, given a function that wakes the writer.
@@ -329,8 +328,8 @@
         At an upgrade the platform holds the listening socket and both processes share it: binding the address
         again would fail, and a new socket would stop the old process from accepting clients.
         """
-        self.most, self.counters, self.session = most, counters, session
-        self.patience, self.busy = patience, busy
+        self.max_clients, self.counters, self.session = max_clients, counters, session
+        self.timeouts, self.busy = timeouts, busy
         self.connections: dict[Connection, None] = {}  # longest inactive first
         self.lingering: dict[Connection, None] = {}  # ended here but not yet by the client; oldest first
         self._full_since = 0.0  # since when no client could be accepted; 0: not full
@@ -433,7 +432,7 @@
         self._full_since = 0.0
 
     def _full(self) -> bool:
-        return self.held() >= self.most
+        return self.held() >= self.max_clients
 
     def held(self) -> int:
         """The number of client sockets in use."""
@@ -459,14 +458,14 @@
             client.write_all(self.busy)
         connection.end(planned=False)
         while (
-            len(self.connections) + len(self.lingering) > self.most + MAX_REJECTED_LINGERING
+            len(self.connections) + len(self.lingering) > self.max_clients + MAX_REJECTED_LINGERING
             and self.lingering
         ):
             next(iter(self.lingering)).close()
 
     def _relieve_pressure(self) -> None:
         """Stay below the cap: clients that keep connections after a request would leave none to others."""
-        while len(self.connections) > self.most * PRESSED_PART and self._make_room():
+        while len(self.connections) > self.max_clients * EARLY_CLOSE_FRACTION and self._make_room():
             pass
 
     def _make_room(self, at_once: bool = False) -> bool:
--- a/stackrouter/net/node_socket.py
+++ b/stackrouter/net/node_socket.py
@@ -49,7 +49,7 @@
         view = memoryview(data)
         begun = attempt.may_have_run  # a later step of an exchange
         while view:
-            left = attempt.request.client_left()
+            left = attempt.request.client_hung_up()
             denial = self._gate.may_write(attempt, self.address, begun, left, self._clock())
             if denial is not None:
                 raise DeniedError(denial, begun)
--- a/stackrouter/net/pool.py
+++ b/stackrouter/net/pool.py
@@ -19,7 +19,7 @@
 from stackrouter.core.gate import Denial, Gate
 from stackrouter.core.model import Attempt, Reply, Step
 from stackrouter.core.violations import ViolationLog
-from stackrouter.errors import NodeSocketsError, defect, tell
+from stackrouter.errors import NodeSocketsError, log_error, log_unexpected
 from stackrouter.net.node_socket import DeniedError, NodeSocket
 from stackrouter.net.ring import Ring
 from stackrouter.net.socket_errors import connect_failed_locally
@@ -29,7 +29,7 @@
 MAX_REPLY_BYTES = 160 * 1024  # a value of 64 KiB, its framing and reports, with room to spare
 # Stray bytes may follow right behind an answer, so nothing is written to its connection for this long.
 STRAY_BYTES_WAIT_S = 0.002
-IDLE_PART = 0.4  # fraction of the node's keep-alive time for which an idle connection is reused
+IDLE_REUSE_FRACTION = 0.4  # fraction of the node's keep-alive time for which an idle connection is reused
 REUSE_HALF_LIFE_S = 5.0  # the statistics of kept connections are halved after this long
 REUSE_MAX_EXTRA_RESETS = 0.1  # share of kept connections that may end by a reset beyond that of new ones ...
 REUSE_MIN_USES = 20.0  # ... out of at least this many uses
@@ -56,7 +56,7 @@
     def _idle_bucket(idle_s: float) -> int:
         return min(8, 1 + max(0, math.ceil(math.log2(max(idle_s, 1e-3) / 0.05))))
 
-    def note(self, idle_s: float | None, reset: bool, now: float) -> None:
+    def record_use(self, idle_s: float | None, reset: bool, now: float) -> None:
         """Count a use at monotonic time `now`; `idle_s`: how long the connection was idle, None if new."""
         if now - self._halved_at > REUSE_HALF_LIFE_S:  # old results fade, so that reuse is tried again
             self._halved_at = now
@@ -87,14 +87,14 @@
 class ReplyMemory:
     """Memory for answers larger than `MAX_REPLY_BYTES`: what does not fit waits, unread, in its socket."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.used, self.freed = most, 0, Event()
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes, self.used, self.freed = max_bytes, 0, Event()
 
     def take(self, size: int) -> MemoryLease | None:
         """Wait for `size` bytes and lease them; None: the size exceeds the total."""
-        if size > self.most:
+        if size > self.max_bytes:
             return None
-        while self.used + size > self.most:
+        while self.used + size > self.max_bytes:
             self.freed.clear()
             self.freed.wait()
         return MemoryLease(self, size)
@@ -114,14 +114,17 @@
 class Pool:
     """Carries out attempts at nodes over new or kept connections."""
 
-    def __init__(self, most: int, budget: int, connect_timeout_us: int, keepalive_us: int, counters: Counters,
-                 ended: Callable[[Attempt, Reply], None], gate: Gate | None = None,
-                 violations: ViolationLog | None = None) -> None:  # fmt: skip
-        """`most`: cap on sockets; `budget`: bytes for large answers; `ended`: called with each reply; `gate`:
-        asked before every write; `violations`: records what was written when."""
+    def __init__(self, max_sockets: int, budget: int, connect_timeout_us: int, keepalive_us: int,
+                 counters: Counters, attempt_ended: Callable[[Attempt, Reply], None],
+                 gate: Gate | None = None, violations: ViolationLog | None = None) -> None:  # fmt: skip
+        """`budget`: bytes for large answers; `attempt_ended`: called with each reply; `gate`: asked before
+        every write; `violations`: records what was written when."""
         self.gate, self.violations = gate or Gate(), violations
-        self.most, self.counters, self.ended = most, counters, ended
-        self.connect_timeout_s, self.idle_s = connect_timeout_us / 1e6, keepalive_us / 1e6 * IDLE_PART
+        self.max_sockets, self.counters, self.attempt_ended = max_sockets, counters, attempt_ended
+        self.connect_timeout_s, self.idle_s = (
+            connect_timeout_us / 1e6,
+            keepalive_us / 1e6 * IDLE_REUSE_FRACTION,
+        )
         self.written: Callable[[Attempt], None] | None = None  # called once an attempt is fully written
         self.budget, self.reuse = ReplyMemory(budget), Reuse()
         self._idle: dict[str, deque[Connection]] = {}
@@ -134,7 +137,7 @@
     def start(self, attempt: Attempt) -> None:
         self._busy[attempt] = (gevent.spawn(self._run, attempt), None)
 
-    def give_up(self, attempt: Attempt) -> None:
+    def abort(self, attempt: Attempt) -> None:
         greenlet, connection = self._busy.pop(attempt, (None, None))
         if connection is not None:
             self._close(connection)
@@ -158,12 +161,12 @@
             return
         except Exception:
             self.counters.add("errors.attempt")
-            defect(log, f"attempt at {attempt.node.name}")
+            log_unexpected(log, f"attempt at {attempt.node.name}")
             reply = Reply(Outcome.RESET if attempt.may_have_run else Outcome.MOOT)
         _, connection = self._busy.pop(attempt, (None, None))
         if connection is not None:
             self._close(connection)
-        self.ended(attempt, reply)
+        self.attempt_ended(attempt, reply)
 
     def _exchange(self, attempt: Attempt) -> Reply:
         try:
@@ -189,11 +192,11 @@
         except OSError:
             if attempt.may_have_run:
                 if attempt in self._busy:  # else it was cancelled here and not reset by the node
-                    self.reuse.note(idle_s, True, began)
+                    self.reuse.record_use(idle_s, True, began)
                 return Reply(Outcome.RESET)
             # That an old connection had ended says nothing about the node.
             return Reply(Outcome.CONNECT_FAILED if is_new else Outcome.MOOT)
-        self.reuse.note(idle_s, False, began)
+        self.reuse.record_use(idle_s, False, began)
         if connection.lease is not None:
             reply = replace(reply, lease=connection.lease)
             connection.lease, connection.inbox.bound = None, MAX_REPLY_BYTES
@@ -210,17 +213,17 @@
     def _run_exchange(self, attempt: Attempt, connection: Connection, is_new: bool) -> Reply:
         """Run the attempt's exchange with the node. OSError, DeniedError: it was aborted."""
         exchange = attempt.request.exchange()
-        wait_us = self.gate.wait_told_us(attempt, _now_us())
+        wait_us = self.gate.stated_wait_us(attempt, _now_us())
         step: Step | Reply | None = exchange.start(wait_us, is_new)
         while not isinstance(step, Reply):
             if step is not None:
                 self._write(attempt, connection, step, wait_us)
-            elif exchange.needs > connection.inbox.bound:
-                connection.lease = self.budget.take(exchange.needs + MAX_REPLY_BYTES)
+            elif exchange.min_inbox_bytes > connection.inbox.bound:
+                connection.lease = self.budget.take(exchange.min_inbox_bytes + MAX_REPLY_BYTES)
                 if connection.lease is None:
                     self.counters.add("nodes.over_memory")
                     return Reply(Outcome.ERROR)
-                connection.inbox.reserve(exchange.needs + MAX_REPLY_BYTES)
+                connection.inbox.reserve(exchange.min_inbox_bytes + MAX_REPLY_BYTES)
                 continue
             elif not connection.inbox.room or not connection.sock.read(connection.inbox):
                 raise ConnectionResetError("node closed the connection")
@@ -229,7 +232,7 @@
 
     def _write(self, attempt: Attempt, connection: Connection, step: Step, wait_us: int) -> None:
         connection.sock.write(attempt, step.data, partial(self._first_byte, attempt, step))
-        if not step.effective:
+        if not step.may_run:
             return
         attempt.may_have_run = True
         if self.violations is not None:
@@ -238,7 +241,7 @@
             self.written(attempt)
 
     def _first_byte(self, attempt: Attempt, step: Step, at_us: int) -> None:
-        if step.effective and self.violations is not None:
+        if step.may_run and self.violations is not None:
             self.violations.first_byte(attempt, at_us)
 
     # --- connections
@@ -275,12 +278,12 @@
         if denial is not None:
             raise DeniedError(denial, begun=False)
         try:
-            if self._count >= self.most and not self._close_oldest_idle():
+            if self._count >= self.max_sockets and not self._close_oldest_idle():
                 raise OSError("all sockets for nodes are in use")
             sock = NodeSocket(self.gate, _now_us)
         except OSError as error:
             self.counters.add("nodes.over_sockets")
-            tell(log, NodeSocketsError(error, address=attempt.node.name), "attempt")
+            log_error(log, NodeSocketsError(error, address=attempt.node.name), "attempt")
             return Outcome.MOOT
         connection = Connection(sock, attempt.request.wire)
         self._count += 1
--- a/stackrouter/ops/admin_queue.py
+++ b/stackrouter/ops/admin_queue.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Crowd(Generic[T]):
+class CallerQueue(Generic[T]):
     """Callers whose line is incomplete. `max_callers`: how many are served at once; `patience_s`: the minimum
     time that each has while others wait."""
 
@@ -42,7 +42,7 @@
             return 0.0
         return max(0.0, min(self._entered_at.values()) + self.patience_s - now)
 
-    def gives_way(self, now: float) -> T | None:
+    def evictable(self, now: float) -> T | None:
         """The caller to evict for the next one; None if none needs to be or may be evicted yet."""
         if len(self._entered_at) < self.max_callers or self.wait_s(now) > 0.0:
             return None
--- a/stackrouter/ops/drain.py
+++ b/stackrouter/ops/drain.py
@@ -38,7 +38,7 @@
         was_draining, self.since = self.since is not None, None
         return was_draining
 
-    def closes(self, now: float, *, owed: bool, readable: bool, asked: bool, active_at: float) -> bool:
+    def should_close(self, now: float, *, owed: bool, readable: bool, asked: bool, active_at: float) -> bool:
         """Whether a client connection is to be closed now.
 
         `owed`: an answer is not yet written whole; `readable`: bytes wait in the socket or the inbox;
--- a/stackrouter/sharing/buckets.py
+++ b/stackrouter/sharing/buckets.py
@@ -19,9 +19,9 @@
 from typing import Final
 
 from rackseam.buckets import EPSILON, LimitBuckets, LimitPart, limit_part
-from rackseam.interface import Event, LimitsChanged, Settings, SharersChanged
+from rackseam.interface import Event, LimitsChanged, ProcessesChanged, Settings
 from stackrouter.core.counters import Counters
-from stackrouter.errors import LimitLogError, ProcessesUncountedError, tell
+from stackrouter.errors import LimitLogError, ProcessesUncountedError, log_error
 from stackrouter.sharing.log_file import LogFile
 from stackrouter.sharing.mode import (
     CHARGE_MAX_AGE_US,
@@ -93,11 +93,12 @@
 class SharedBuckets:
     """Implements `rackseam.buckets.Buckets` for a process on an inherited listening socket.
 
-    Called only from the engine's loop: `refresh` before a batch of events, `exchange` after it, and `events`
-    for the changes to report to the decision module. Times are microseconds of the machine's monotonic clock.
+    Called only from the engine's loop: `scan_processes` before a batch of events, `exchange_claims` after it,
+    and `events` for the changes to report to the decision module. Times are microseconds of the machine's
+    monotonic clock.
     """
 
-    tracks = True
+    tracks_writes = True
 
     def __init__(self, settings: Settings, presence: Presence, log_file: LogFile, counters: Counters,
                  clock: Callable[[], int], seed: int | None = None) -> None:  # fmt: skip
@@ -128,7 +129,7 @@
 
     def begin(self, now: int) -> None:
         if self.mode is not Mode.SPLIT:
-            self._local.since = now
+            self._local.refill_start = now
 
     def wait_us(self, part: LimitPart, units: float, now: int) -> float:
         part = self._volume_ids.with_id(part)
@@ -180,15 +181,15 @@
 
     # --- called by the engine
 
-    def on_claims(self, tell: Callable[[LimitPart, float, int], None]) -> None:
+    def set_claim_callback(self, callback: Callable[[LimitPart, float, int], None]) -> None:
         """Set the callback for claims of other processes: limit, units (negative: returned), time."""
-        self._report_claim = tell
+        self._report_claim = callback
 
-    def charge(self, now: int) -> Charge:
+    def reservation(self, now: int) -> Charge:
         """The charge of a request whose units have just been spent."""
         return Charge(now, self.period)
 
-    def may_draw(self, charge: object, now: int) -> bool:
+    def may_spend(self, charge: object, now: int) -> bool:
         """Whether the request may still be written to a node. To be called right before each write.
 
         A process that is alone keeps units set aside for any time. Otherwise the other processes regard the
@@ -196,14 +197,14 @@
         a store that has been refilled since.
         """
         if self.mode is Mode.ALONE and now - self._scanned_at > SCAN_MAX_AGE_US:
-            self.refresh(now)  # this process may have been stopped while another joined
+            self.scan_processes(now)  # this process may have been stopped while another joined
         if not isinstance(charge, Charge):
             return False
         if self.mode is Mode.ALONE and charge.period == self.period:
             return True
         return now - charge.at <= CHARGE_MAX_AGE_US
 
-    def refresh(self, now: int) -> None:
+    def scan_processes(self, now: int) -> None:
         """Scan for other processes if the last scan is too old to decide on."""
         if now - self._scanned_at < SCAN_MAX_AGE_US:
             return
@@ -217,7 +218,7 @@
         if self.mode is Mode.SHARED:
             self._read_log(now, {})
 
-    def exchange(self, now: int) -> bool:
+    def exchange_claims(self, now: int) -> bool:
         """Claim the requested units if the interval has passed. Returns whether there are new events."""
         if (
             self.mode is not Mode.SHARED
@@ -260,17 +261,17 @@
 
     def _apply_view(self, view: ProcessView, now: int) -> None:
         mode = mode_for(view, self._log_id is not None)
-        resplit = mode is Mode.SPLIT and view.sharers != self._view.sharers
+        resplit = mode is Mode.SPLIT and view.process_count != self._view.process_count
         if mode is not self.mode or resplit:
             self._switch_mode(mode, view, now)
-        self._update_sharers(view)
+        self._update_process_count(view)
 
     def _switch_mode(self, mode: Mode, view: ProcessView, now: int) -> None:
         previous, self.mode = self.mode, mode
         if mode is Mode.ALONE:
             self._enter_alone(previous, now)
         elif mode is Mode.SPLIT:
-            self._enter_split(previous, view.sharers, now)
+            self._enter_split(previous, view.process_count, now)
         else:
             self._enter_shared(previous, now)
         if self.mode is not mode:
@@ -283,13 +284,13 @@
         self._counters.add(f"limits.{mode.value}")
         log.info(
             "limits: %s, was %s: %d processes of this gateway, this one in slot %d, others in slots %s",
-            mode.value, previous.value if previous else "starting", view.sharers, view.slot,
+            mode.value, previous.value if previous else "starting", view.process_count, view.slot,
             list(view.others),
         )  # fmt: skip
 
-    def _update_sharers(self, view: ProcessView) -> None:
-        if (view.sharers, view.rank) != (self._view.sharers, self._view.rank):
-            self._events.append(SharersChanged(view.sharers, view.rank))
+    def _update_process_count(self, view: ProcessView) -> None:
+        if (view.process_count, view.rank) != (self._view.process_count, self._view.rank):
+            self._events.append(ProcessesChanged(view.process_count, view.rank))
         self._view = view
 
     def _enter_alone(self, previous: Mode | None, now: int) -> None:
@@ -298,7 +299,7 @@
             self._apply_records(self._read_records(now), {})
             self._adopt_replayed_buckets(now)
         elif previous is Mode.SPLIT:
-            self._local.split(1, now)
+            self._local.split_among(1, now)
         if self._log_id is None and self._countable:
             self._log_id = self._open_log()
             self._presence.use_log(self._log_id)
@@ -310,22 +311,27 @@
         if self._log_id is None or self._replayed.epoch is None:
             # The log was invalid or could not be read to its end: what others have sent is unknown.
             self._local.buckets = {}
-            self._local.split(1, now, from_empty_at=now)
+            self._local.split_among(1, now, from_empty_at=now)
             return
         self._local.buckets = self._replayed.buckets.buckets
-        self._local.since, self._local.starts_with_tolerance = self._replayed.buckets.since, False
-        self._local.sharers = 1
+        self._local.refill_start, self._local.starts_with_tolerance = (
+            self._replayed.buckets.refill_start,
+            False,
+        )
+        self._local.process_count = 1
         for grant in self._grants.values():
             if now - grant.at <= GRANT_MAX_AGE_US:
                 self._local.add(grant.part, grant.units, now)
 
-    def _enter_split(self, previous: Mode | None, sharers: int, now: int) -> None:
+    def _enter_split(self, previous: Mode | None, process_count: int, now: int) -> None:
         if previous is Mode.ALONE or previous is Mode.SPLIT:
-            self._local.split(sharers, now)
+            self._local.split_among(process_count, now)
         else:
             # The units left in the log are given up: processes that have not scanned yet may spend them.
             self._local.buckets = {}
-            self._local.split(sharers, now, from_empty_at=max(now, self._joined_at) + JOIN_DELAY_US)
+            self._local.split_among(
+                process_count, now, from_empty_at=max(now, self._joined_at) + JOIN_DELAY_US
+            )
         if self._log_id is not None and previous is not Mode.SPLIT:
             self._become_new_writer()
             self._append([self._new_record(RecordKind.VOID, now)], now)
@@ -363,7 +369,7 @@
             self._new_record(RecordKind.LEVEL, at, b.part, self._local.level(b.part, at), number)
             for number, b in enumerate(buckets)
         ]
-        records.append(self._new_record(RecordKind.SINCE, self._local.since, number=len(buckets)))
+        records.append(self._new_record(RecordKind.SINCE, self._local.refill_start, number=len(buckets)))
         self._local.buckets = {}
         return records
 
@@ -374,7 +380,7 @@
             return self._log_file.open()
         except LimitLogError as error:
             self._counters.add("limits.log_failed")
-            tell(log, error)
+            log_error(log, error)
             return None
 
     def _join_processes(self) -> bool:
@@ -389,7 +395,7 @@
     def _counting_failed(self, error: OSError) -> None:
         self._countable = False
         self._counters.add("limits.uncounted")
-        tell(log, ProcessesUncountedError(error.strerror or error))
+        log_error(log, ProcessesUncountedError(error.strerror or error))
 
     def _become_new_writer(self) -> None:
         """Become a new writer, since a writer's records in one log are numbered from 0."""
@@ -436,7 +442,7 @@
             return
         self._log_id = None
         self._counters.add("limits.log_failed")
-        tell(log, error)
+        log_error(log, error)
         try:
             self._presence.use_log(None)
         except OSError as lock_error:
@@ -485,7 +491,7 @@
             if record.writer != self._writer or record.sequence not in claims:
                 continue
             part, units = claims[record.sequence]
-            enough = level >= self._replayed.buckets.needed(part, units) - EPSILON
+            enough = level >= self._replayed.buckets.required_tokens(part, units) - EPSILON
             if enough and self._replayed.epoch is not None:
                 granted.append(Grant(part, units, record.at_us))
             else:
--- a/stackrouter/sharing/mode.py
+++ b/stackrouter/sharing/mode.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 SCAN_MAX_AGE_US: Final = 20_000  # maximum age of the scan for other processes on which a decision is based
-IDLE_LOOK_US: Final = 50_000  # interval between scans while the process decides nothing
+IDLE_SCAN_INTERVAL_US: Final = 50_000  # interval between scans while the process decides nothing
 # A process that has just joined spends nothing until all others have scanned again. They decide on scans up
 # to SCAN_MAX_AGE_US old; the remaining time covers clocks that were read before the scan.
 JOIN_DELAY_US: Final = 60_000
@@ -41,7 +41,7 @@
     countable: bool = True
 
     @property
-    def sharers(self) -> int:
+    def process_count(self) -> int:
         """Number of processes of the gateway, including this one."""
         return len(self.others) + 1 if self.countable else MAX_SHARERS
 
--- a/stackrouter/sharing/replay.py
+++ b/stackrouter/sharing/replay.py
@@ -28,7 +28,7 @@
 
     def _empty_buckets(self, since: int) -> LimitBuckets:
         buckets = LimitBuckets(self._largest_units)
-        buckets.since, buckets.starts_with_tolerance = since, False
+        buckets.refill_start, buckets.starts_with_tolerance = since, False
         return buckets
 
     def apply(self, record: Record) -> float:
@@ -71,8 +71,8 @@
         earlier_us = max(0, self.refilled_since - since)
         for key, bucket in self.buckets.buckets.items():
             if key not in self._with_level:
-                self.buckets.add(bucket.part, earlier_us * bucket.part.rate, self._now)
-        self.buckets.since -= earlier_us
+                self.buckets.add(bucket.part, earlier_us * bucket.part.units_per_us, self._now)
+        self.buckets.refill_start -= earlier_us
         self.refilled_since -= earlier_us
 
     def _drop_oldest_if_full(self) -> None:
--- a/stackrouter/sharing/socket_limits.py
+++ b/stackrouter/sharing/socket_limits.py
@@ -52,13 +52,13 @@
             self._published = count
 
 
-class ProcessRooms:
+class ProcessSocketLimits:
     """Client and node sockets. Where processes cannot publish counts, each is limited to a third."""
 
     def __init__(self, counts: SocketCounts) -> None:
         self._clients, self._nodes = SharedSocketLimit(counts, CLIENTS), SharedSocketLimit(counts, NODES)
 
-    def most(self, clients: tuple[int, int], nodes: tuple[int, int]) -> tuple[int, int]:
+    def allowed(self, clients: tuple[int, int], nodes: tuple[int, int]) -> tuple[int, int]:
         """How many of either kind this process may hold now. Each argument: gateway's limit, number held."""
         try:
             return self._clients.allowed(*clients), self._nodes.allowed(*nodes)
--- a/stackrouter/soak/gateway_process.py
+++ b/stackrouter/soak/gateway_process.py
@@ -98,15 +98,15 @@
     """Disables the enforcement of a rule."""
     from stackrouter.core.gate import Gate
     from stackrouter.net.discovery import Discovery
-    from stackrouter.net.list_applier import ListTaker
+    from stackrouter.net.list_applier import ListApplier
 
     if rule == "drain":
-        Discovery.start_with = Discovery._take_first  # type: ignore[method-assign]
+        Discovery.start_with = Discovery._apply_first_list  # type: ignore[method-assign]
         Gate.may_open = lambda *_: None  # type: ignore[method-assign]
         Gate.may_write = lambda *_: None  # type: ignore[method-assign]
-        take = ListTaker.take
-        ListTaker.take = (  # type: ignore[method-assign]
-            lambda self, kind, *rest: take(self, kind, *rest) if kind is ListKind.CACHED else None
+        apply = ListApplier.apply
+        ListApplier.apply = (  # type: ignore[method-assign]
+            lambda self, kind, *rest: apply(self, kind, *rest) if kind is ListKind.CACHED else None
         )
     elif rule == "lost":
         from stackrouter.core.engine import Engine
@@ -116,7 +116,7 @@
         ClientSocket.hung_up = lambda *_: False  # type: ignore[method-assign]
         _delay_attempts()
     elif rule == "deadline":
-        Gate.wait_told_us = lambda *_: 60_000_000  # type: ignore[method-assign]
+        Gate.stated_wait_us = lambda *_: 60_000_000  # type: ignore[method-assign]
     elif rule == "unanswered":
         from stackrouter.core.engine import Engine
 
@@ -131,16 +131,16 @@
     elif rule == "second_copy":
         from stackrouter.net.pool import Pool
 
-        Pool.give_up = lambda *_: None  # type: ignore[method-assign]
+        Pool.abort = lambda *_: None  # type: ignore[method-assign]
     elif rule == "duplicate":
-        settings_of = configuration.settings_of  # type: ignore[attr-defined]
+        parse_settings = configuration.parse_settings  # type: ignore[attr-defined]
 
         def all_safe(*args: Any) -> Any:
             """Declares every request class safe to repeat."""
-            settings = settings_of(*args)
+            settings = parse_settings(*args)
             return replace(settings, classes=tuple(replace(c, effect=Effect.SAFE) for c in settings.classes))
 
-        configuration.settings_of = all_safe  # type: ignore[attr-defined,assignment]
+        configuration.parse_settings = all_safe  # type: ignore[attr-defined,assignment]
 
 
 def main() -> int:
--- a/stackrouter/soak/run.py
+++ b/stackrouter/soak/run.py
@@ -81,7 +81,7 @@
     def _entry(node: SoakNode, status: str = "up") -> Entry:
         return entry(node.name, node.address, node.shard, "hall-a", "std", status, node.since_ms)
 
-    def play(self) -> SoakResult:
+    def run(self) -> SoakResult:
         """Runs the soak and returns its result after all processes and servers have stopped."""
         watch = gevent.spawn(self._watch_lateness)
         try:
--- a/stackrouter/standins/clients.py
+++ b/stackrouter/standins/clients.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
+class VolumeLoad:
     """Load of one volume.
 
     `burst`: multiple of the rate, begin and end in seconds from the start; (1, 0, 0): none.
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class VolumeResults:
     """Answers to one volume's clients. `recent`: latencies in seconds of the last answers."""
 
     verdicts: Counter[str] = field(default_factory=Counter)
@@ -46,15 +46,18 @@
 class StandinClients:
     """Sends the load of all volumes to the gateways, in greenlets, until `stop`."""
 
-    def __init__(self, habits: Sequence[Habits], gateways: Sequence[tuple[str, int]], seed: int) -> None:
-        self.habits, self.gateways = habits, gateways
-        self.told = {each.volume: Told() for each in habits}
+    def __init__(
+        self, volume_loads: Sequence[VolumeLoad], gateways: Sequence[tuple[str, int]], seed: int
+    ) -> None:
+        self.volume_loads, self.gateways = volume_loads, gateways
+        self.results = {each.volume: VolumeResults() for each in volume_loads}
         self._rng = random.Random(f"clients {seed}")
         self._idle: dict[int, list[socket.socket]] = {i: [] for i in range(len(gateways))}
         self._request_count = 0
         self.began = time.monotonic()
         self._greenlets = [
-            gevent.spawn(self._run_volume, each, random.Random(f"{each.volume} {seed}")) for each in habits
+            gevent.spawn(self._run_volume, each, random.Random(f"{each.volume} {seed}"))
+            for each in volume_loads
         ]
 
     def stop(self) -> None:
@@ -63,28 +66,28 @@
             for sock in idle:
                 sock.close()
 
-    def _run_volume(self, habits: Habits, rng: random.Random) -> None:
+    def _run_volume(self, load: VolumeLoad, rng: random.Random) -> None:
         due = time.monotonic()
         while True:
-            multiple, begin, end = habits.burst
+            multiple, begin, end = load.burst
             now = time.monotonic() - self.began
-            rate = habits.units_per_s * (multiple if begin <= now < end else 1.0) / MEAN_UNITS
+            rate = load.units_per_s * (multiple if begin <= now < end else 1.0) / MEAN_UNITS
             due += rng.expovariate(rate)
             gevent.sleep(max(0.0, due - time.monotonic()))
             gevent.spawn(
                 self._send_request,
-                habits,
-                rng.choice(habits.gateways),
-                rng.random() < habits.write_share,
+                load,
+                rng.choice(load.gateways),
+                rng.random() < load.write_share,
                 rng.choice((1, 1, 2, 4)),
-                rng.choice(habits.shards),
+                rng.choice(load.shards),
             )
 
-    def _send_request(self, habits: Habits, gateway: int, write: bool, units: int, shard: int) -> None:
+    def _send_request(self, load: VolumeLoad, gateway: int, write: bool, units: int, shard: int) -> None:
         self._request_count += 1
         fields = (
-            f"c={CLASSES[write]},t={habits.plan},d={DEADLINE_MS[write]},volume={habits.volume},units={units},"
-            f"shard={shard},hosts={len(habits.gateways)}"
+            f"c={CLASSES[write]},t={load.plan},d={DEADLINE_MS[write]},volume={load.volume},units={units},"
+            f"shard={shard},hosts={len(load.gateways)}"
         )
         words = [
             b"BLK.READ",
@@ -100,10 +103,10 @@
             verdict = self._exchange(gateway, resp.command(*words), DEADLINE_MS[write] / 1000 + 0.5)
         except (OSError, gevent.Timeout):
             verdict = "lost"
-        told = self.told[habits.volume]
-        told.verdicts[verdict] += 1
-        told.recent.append(time.monotonic() - began)
-        told.latency_s += time.monotonic() - began
+        results = self.results[load.volume]
+        results.verdicts[verdict] += 1
+        results.recent.append(time.monotonic() - began)
+        results.latency_s += time.monotonic() - began
 
     def _exchange(self, gateway: int, command: bytes, wait_s: float) -> str:
         if self._idle[gateway]:
--- a/stackrouter/standins/fleet.py
+++ b/stackrouter/standins/fleet.py
@@ -16,14 +16,14 @@
 import gevent
 
 from stackrouter.errors import StartError
-from stackrouter.standins.clients import Habits, StandinClients
+from stackrouter.standins.clients import StandinClients, VolumeLoad
 from stackrouter.standins.discovery import StandinDiscovery, entry
-from stackrouter.standins.node import Nature, StandinNode
+from stackrouter.standins.node import NodeBehavior, StandinNode
 
-HALLS = ("hall-a", "hall-b", "hall-c")
+ZONES = ("hall-a", "hall-b", "hall-c")
 START_S = 15.0
 STOP_S = 8.0
-NODE_UNITS_PER_S = 250.0  # approximate capacity of a node with the default Nature
+NODE_UNITS_PER_S = 250.0  # approximate capacity of a node with the default NodeBehavior
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,22 +90,22 @@
             {**profile, "Name": "turn-write", "Effect": "keyed", "HardLimitUs": 3_000_000, "Gain": 2.0},
         ],
         "StepUs": 2000,
-        "Zones": list(HALLS),
+        "Zones": list(ZONES),
     }
 
 
-def habits(scene: Scene) -> tuple[float, list[Habits], str | None]:
-    """The basic plan's usual rate in units/s, every volume's habits, and the noisy volume or None."""
+def volume_loads(scene: Scene) -> tuple[float, list[VolumeLoad], str | None]:
+    """The basic plan's usual rate in units/s, every volume's load, and the noisy volume or None."""
     count = 3 * scene.nodes
     # One in three volumes has twice the usual rate.
     usual = NODE_UNITS_PER_S * scene.load * scene.nodes / (count * 4 / 3)
-    volumes: list[Habits] = []
+    volumes: list[VolumeLoad] = []
     for i in range(count):
         plan = "priority" if i % 3 == 2 else "basic"
         shards = tuple((i + j) % scene.nodes for j in range(1 if plan == "basic" else min(2, scene.nodes)))
         hosts = tuple(range(scene.gateways)) if i % 2 else (i % scene.gateways,)
         rate = usual * (2 if plan == "priority" else 1)
-        volumes.append(Habits(f"{0xb0000000 + i:016x}", plan, rate, hosts, shards))
+        volumes.append(VolumeLoad(f"{0xb0000000 + i:016x}", plan, rate, hosts, shards))
     if scene.noisy == "none":
         return usual, volumes, None
     plan = "basic" if scene.noisy == "basic" else "priority"
@@ -116,7 +116,7 @@
     times = 9.0 if plan == "basic" else 8.0
     share = 1.0 if scene.noisy == "writes" else chosen.write_share
     hosts = tuple(range(scene.gateways))
-    volumes[noisy_index] = Habits(
+    volumes[noisy_index] = VolumeLoad(
         chosen.volume, chosen.plan, chosen.units_per_s, hosts, chosen.shards, share, (times, *scene.burst)
     )
     return usual, volumes, chosen.volume
@@ -132,26 +132,26 @@
 class StandinFleet:
     """The running installation; a context manager that stops everything on exit."""
 
-    def __init__(self, scene: Scene, folder: Path, nature: Nature | None = None) -> None:
+    def __init__(self, scene: Scene, folder: Path, behavior: NodeBehavior | None = None) -> None:
         self.scene, self.folder = scene, folder
-        usual, self.habits, self.noisy = habits(scene)
+        usual, self.volume_loads, self.noisy = volume_loads(scene)
         usual_units_per_s = {
-            each.volume: usual * (2 if each.plan == "priority" else 1) for each in self.habits
+            each.volume: usual * (2 if each.plan == "priority" else 1) for each in self.volume_loads
         }
-        nature = nature or Nature()
+        behavior = behavior or NodeBehavior()
         self.nodes = [
-            StandinNode(f"s-{i + 1}", i, nature, scene.seed, usual_units_per_s) for i in range(scene.nodes)
+            StandinNode(f"s-{i + 1}", i, behavior, scene.seed, usual_units_per_s) for i in range(scene.nodes)
         ]
-        entries = [entry(n.name, n.address, n.shard, HALLS[i % 3], "std") for i, n in enumerate(self.nodes)]
+        entries = [entry(n.name, n.address, n.shard, ZONES[i % 3], "std") for i, n in enumerate(self.nodes)]
         self.discovery = StandinDiscovery(entries)
         self.ports = [free_port() for _ in range(scene.gateways)]
         self.settings = settings(scene, usual)
-        self.programs: list[subprocess.Popen[bytes]] = []
+        self.processes: list[subprocess.Popen[bytes]] = []
         self.clients: StandinClients | None = None
 
     def __enter__(self) -> StandinFleet:
         try:
-            self.programs = [self._start(i) for i in range(self.scene.gateways)]
+            self.processes = [self._start(i) for i in range(self.scene.gateways)]
             self._wait_until_ready()
         except BaseException:
             self.__exit__()
@@ -161,13 +161,13 @@
     def __exit__(self, *_: object) -> None:
         if self.clients is not None:
             self.clients.stop()
-        for program in self.programs:
+        for program in self.processes:
             if program.poll() is None:
                 program.send_signal(signal.SIGTERM)
         give_up_at = time.monotonic() + STOP_S
-        while any(p.poll() is None for p in self.programs) and time.monotonic() < give_up_at:
+        while any(p.poll() is None for p in self.processes) and time.monotonic() < give_up_at:
             gevent.sleep(0.02)
-        for program in self.programs:
+        for program in self.processes:
             if program.poll() is None:
                 program.kill()
                 program.wait()
@@ -175,10 +175,10 @@
             node.stop()
         self.discovery.stop()
 
-    def play(self) -> StandinClients:
+    def start_clients(self) -> StandinClients:
         """Start the clients' load."""
         addresses = [("127.0.0.1", port) for port in self.ports]
-        self.clients = StandinClients(self.habits, addresses, self.scene.seed)
+        self.clients = StandinClients(self.volume_loads, addresses, self.scene.seed)
         return self.clients
 
     def log_of(self, gateway: int) -> Path:
@@ -217,7 +217,7 @@
         give_up_at = time.monotonic() + START_S
         for i, port in enumerate(self.ports):
             while not _answers_ping(port):
-                if self.programs[i].poll() is not None or time.monotonic() > give_up_at:
+                if self.processes[i].poll() is not None or time.monotonic() > give_up_at:
                     raise StartError(f"g{i + 1}: {self.log_of(i).read_text().strip() or 'did not start'}")
                 gevent.sleep(0.02)
 
--- a/stackrouter/standins/node.py
+++ b/stackrouter/standins/node.py
@@ -15,13 +15,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Nature:
+class NodeBehavior:
     """Parameters of a node's behaviour. Times in seconds; a pair is a range to draw from."""
 
     cores: int = 2
     unit_s: float = 0.008  # core time per unit of size
     spread: float = 0.4  # of the work: sigma of a lognormal distribution
-    put_off: float = 0.35  # part of a write's work that is deferred to the next flush
+    deferred_share: float = 0.35  # part of a write's work that is deferred to the next flush
     flush_every_s: tuple[float, float] = (1.1, 4.0)
     pause_every_s: tuple[float, float] | None = (2.4, 6.3)
     pause_s: tuple[float, float] = (0.074, 0.23)
@@ -41,22 +41,24 @@
 
 
 @dataclass(slots=True)
-class Seen:
-    """Counts of requests. `busy`: rejected; `gave_up`: the connection was closed before the answer."""
+class NodeStats:
+    """Counts of requests. `busy`: rejected; `client_closed`: the connection was closed before the answer."""
 
     served: int = 0
     busy: int = 0
-    gave_up: int = 0
+    client_closed: int = 0
     units: Counter[str] = field(default_factory=Counter)
 
 
 class StandinNode:
     """A node that listens on `address` until `stop`."""
 
-    def __init__(self, name: str, shard: int, nature: Nature, seed: int, usual: dict[str, float]) -> None:
+    def __init__(
+        self, name: str, shard: int, behavior: NodeBehavior, seed: int, usual: dict[str, float]
+    ) -> None:
         """`usual`: each volume's usual rate in units/s, on which its reported use in percent is based."""
-        self.name, self.shard, self.nature, self.usual = name, shard, nature, usual
-        self.seen = Seen()
+        self.name, self.shard, self.behavior, self.usual = name, shard, behavior, usual
+        self.stats = NodeStats()
         self.inflight = self._reported_inflight = 0
         self._rng = random.Random(f"{name} {seed}")
         self._queue: deque[Job] = deque()
@@ -75,9 +77,9 @@
             gevent.spawn(self._report),
             gevent.spawn(self._meter),
         ]
-        self._greenlets += [gevent.spawn(self._run_core) for _ in range(nature.cores)]
-        if nature.pause_every_s is not None:
-            self._greenlets.append(gevent.spawn(self._pauses, nature.pause_every_s))
+        self._greenlets += [gevent.spawn(self._run_core) for _ in range(behavior.cores)]
+        if behavior.pause_every_s is not None:
+            self._greenlets.append(gevent.spawn(self._pauses, behavior.pause_every_s))
 
     def stop(self) -> None:
         self._sock.close()
@@ -104,13 +106,13 @@
         for job in jobs:
             if not job.ended:
                 job.ended = True
-                self.seen.gave_up += 1
+                self.stats.client_closed += 1
         sock.close()
 
     def _take(self, sock: socket.socket, words: list[bytes]) -> list[Job]:
         fields = dict(pair.split("=", 1) for pair in words[3].decode().split(","))
         if int(fields["shard"]) != self.shard or self.inflight >= MAX_QUEUED:
-            self.seen.busy += 1
+            self.stats.busy += 1
             sock.sendall(b"-BUSY\r\n")
             return []
         value = words[4] if len(words) > 4 else b"value of " + words[1]
@@ -123,7 +125,7 @@
     # --- work
 
     def _run_core(self) -> None:
-        nature = self.nature
+        behavior = self.behavior
         while True:
             while not self._queue:
                 self._work_available.clear()
@@ -131,11 +133,11 @@
             job = self._queue.popleft()
             if not job.ended:
                 work = (
-                    nature.unit_s
+                    behavior.unit_s
                     * job.units
-                    * self._rng.lognormvariate(-(nature.spread**2) / 2, nature.spread)
+                    * self._rng.lognormvariate(-(behavior.spread**2) / 2, behavior.spread)
                 )
-                deferred = work * nature.put_off if job.write else 0.0
+                deferred = work * behavior.deferred_share if job.write else 0.0
                 self._not_stalled.wait()
                 gevent.sleep(work - deferred)
                 self._not_stalled.wait()
@@ -146,8 +148,8 @@
 
     def _answer(self, job: Job) -> None:
         job.ended = True
-        self.seen.served += 1
-        self.seen.units[job.volume] += round(job.units)
+        self.stats.served += 1
+        self.stats.units[job.volume] += round(job.units)
         self._used[job.volume] += round(job.units)
         used = round(100 * self._reported_used[job.volume] / self.usual.get(job.volume, 1.0))
         figures, report = b"used=%d" % used, b"inflight=%d" % self._reported_inflight
@@ -163,18 +165,18 @@
     def _pauses(self, every_s: tuple[float, float]) -> None:
         while True:
             gevent.sleep(self._rng.uniform(*every_s))
-            self._stall(self._rng.uniform(*self.nature.pause_s))
+            self._stall(self._rng.uniform(*self.behavior.pause_s))
 
     def _flush(self) -> None:
         while True:
-            gevent.sleep(self._rng.uniform(*self.nature.flush_every_s))
+            gevent.sleep(self._rng.uniform(*self.behavior.flush_every_s))
             deferred_s, self._deferred_s = self._deferred_s, 0.0
-            self._stall(deferred_s / self.nature.cores)
+            self._stall(deferred_s / self.behavior.cores)
 
     def _report(self) -> None:
         while True:
             self._reported_inflight = self.inflight
-            gevent.sleep(self.nature.report_every_s)
+            gevent.sleep(self.behavior.report_every_s)
 
     def _meter(self) -> None:
         """Update the reported use to that of the last finished second."""
--- a/stackrouter/trace/format.py
+++ b/stackrouter/trace/format.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class BlockPosition:
     """The file offset of a block, and the number of facts before it."""
 
     offset: int
@@ -65,7 +65,7 @@
     return _mark(len(frame), first) + frame
 
 
-def pack_index(places: list[Place]) -> bytes:
+def pack_index(places: list[BlockPosition]) -> bytes:
     """Serialize the index of a file, which follows its last block."""
     body = INDEX_TAG + b"".join(INDEX_ENTRY.pack(p.offset, p.first) for p in places)
     length = FRAME_HEADER.size + len(body) + INDEX_TAIL.size
@@ -76,7 +76,7 @@
     )
 
 
-def read_index(data: bytes | memoryview) -> list[Place] | None:
+def read_index(data: bytes | memoryview) -> list[BlockPosition] | None:
     """The index of a complete file, or None if it is missing or damaged."""
     if len(data) < INDEX_TAIL.size:
         return None
@@ -88,11 +88,12 @@
     if not body.startswith(INDEX_TAG) or (len(body) - len(INDEX_TAG)) % INDEX_ENTRY.size:
         return None
     return [
-        Place(*INDEX_ENTRY.unpack_from(body, at)) for at in range(len(INDEX_TAG), len(body), INDEX_ENTRY.size)
+        BlockPosition(*INDEX_ENTRY.unpack_from(body, at))
+        for at in range(len(INDEX_TAG), len(body), INDEX_ENTRY.size)
     ]
 
 
-def blocks(data: bytes | memoryview) -> Iterator[tuple[Place, pb.Block] | Damage]:
+def blocks(data: bytes | memoryview) -> Iterator[tuple[BlockPosition, pb.Block] | Damage]:
     """Yield each intact block with its place, in file order, and a `Damage` for each unreadable range."""
     unpack = zstandard.ZstdDecompressor()
     view, at, end = memoryview(data), 0, len(data)
@@ -128,7 +129,7 @@
             block = pb.Block.FromString(
                 unpack.decompress(view[begin:block_end], max_output_size=MAX_BLOCK_BYTES)
             )
-            yield Place(at, block.first), block
+            yield BlockPosition(at, block.first), block
             at = block_end
         except (zstandard.ZstdError, DecodeError, ValueError) as error:
             # The length itself may be damaged, so search for the next mark from the start of the frame.
@@ -143,7 +144,7 @@
     return read_index(view[at:]) is not None and INDEX_TAIL.unpack(tail)[0] == len(view) - at
 
 
-def block_at(data: memoryview, place: Place) -> pb.Block:
+def block_at(data: memoryview, place: BlockPosition) -> pb.Block:
     """Read a block that `blocks` reported as intact."""
     _, length, _, _ = MARK_BODY.unpack_from(data, place.offset + FRAME_HEADER.size)
     begin = place.offset + MARK_BYTES
--- a/stackrouter/trace/read.py
+++ b/stackrouter/trace/read.py
@@ -12,7 +12,7 @@
 from stackrouter.core import facts
 from stackrouter.errors import TraceReadError
 from stackrouter.trace.codec import Header, decode
-from stackrouter.trace.format import Damage, Place, block_at, blocks
+from stackrouter.trace.format import BlockPosition, Damage, block_at, blocks
 
 
 @dataclass(slots=True)
@@ -20,7 +20,7 @@
     """One run of one gateway. Its blocks may be in several files. `left_out`: number of facts dropped."""
 
     header: Header
-    blocks: list[tuple[Path, Place]] = field(default_factory=list)
+    blocks: list[tuple[Path, BlockPosition]] = field(default_factory=list)
     count: int = 0  # of facts
     left_out: int = 0
 
@@ -93,7 +93,7 @@
         run.left_out = max(run.left_out, block.left_out)
 
 
-def shift_us(header: Header) -> int:
+def wall_clock_offset_us(header: Header) -> int:
     """The offset from the times of facts to the wall clock, in microseconds."""
     return header.unix_us - header.clock_us
 
@@ -102,7 +102,7 @@
     """Yield each fact with the index of its run, ordered by wall clock time."""
 
     def stream(index: int, run: Run) -> Iterator[tuple[int, int, int, facts.Fact]]:
-        shift = shift_us(run.header)
+        shift = wall_clock_offset_us(run.header)
         for i, fact in enumerate(run.read()):
             yield fact.at + shift, index, i, fact
 
--- a/stackrouter/trace/record.py
+++ b/stackrouter/trace/record.py
@@ -12,9 +12,9 @@
 from typing import BinaryIO
 
 from stackrouter.core import facts
-from stackrouter.errors import TraceWriteError, tell
+from stackrouter.errors import TraceWriteError, log_error
 from stackrouter.trace.codec import Header, encode
-from stackrouter.trace.format import Place, pack, pack_index
+from stackrouter.trace.format import BlockPosition, pack, pack_index
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
     def __init__(self, path: Path, header: Header, max_bytes: int, keep: int) -> None:
         self.path, self.header, self.max_bytes, self.keep = path, header, max_bytes, keep
         self._file: BinaryIO | None = None
-        self._places: list[Place] = []
+        self._places: list[BlockPosition] = []
         self._size = self._facts = 0
 
     def write(self, batch: list[facts.Fact], left_out: int) -> None:
@@ -40,7 +40,7 @@
             self._file, self._size, self._places = self.path.open("wb"), 0, []
         self._file.write(data)
         self._file.flush()
-        self._places.append(Place(self._size, self._facts))
+        self._places.append(BlockPosition(self._size, self._facts))
         self._size += len(data)
         self._facts += len(batch)
 
@@ -67,7 +67,7 @@
     def __init__(self, sink: Sink, max_facts: int = 16 * BLOCK_FACTS) -> None:
         self.sink, self.max_facts = sink, max_facts
         self.left_out = 0
-        self.on_block: Callable[[], None] = lambda: None  # called when a block is full
+        self.on_block_full: Callable[[], None] = lambda: None  # called when a block is full
         self._pending: deque[facts.Fact] = deque()
         self._failed = self._closed = False
         # Serializes `close` with a flush in another thread: concurrent writes would interleave their blocks.
@@ -79,7 +79,7 @@
             return
         self._pending.append(fact)
         if len(self._pending) % BLOCK_FACTS == 0:
-            self.on_block()
+            self.on_block_full()
 
     def flush(self, include_partial: bool = False) -> None:
         """Write the full blocks; with `include_partial` also the last, partial one."""
@@ -98,7 +98,7 @@
                 self.left_out += len(batch)
                 if not self._failed:
                     what = f"{error.strerror}; dropped facts are counted"
-                    tell(log, TraceWriteError(what, file=self.sink.path.name), "trace")
+                    log_error(log, TraceWriteError(what, file=self.sink.path.name), "trace")
                 self._failed = True
 
     def close(self) -> None:
@@ -109,4 +109,4 @@
             try:
                 self.sink.close()
             except OSError as error:
-                tell(log, TraceWriteError(error.strerror, file=self.sink.path.name), "trace")
+                log_error(log, TraceWriteError(error.strerror, file=self.sink.path.name), "trace")
--- a/tests/control_group.py
+++ b/tests/control_group.py
@@ -23,8 +23,8 @@
 from stackrouter.fleet.proxy import Link
 from stackrouter.fronts.platform import resp
 from stackrouter.standins.discovery import StandinDiscovery, entry
-from stackrouter.standins.fleet import Scene, habits, settings
-from stackrouter.standins.node import Nature, StandinNode
+from stackrouter.standins.fleet import Scene, settings, volume_loads
+from stackrouter.standins.node import NodeBehavior, StandinNode
 
 NODES = 4
 TOUCH_MS, DRIFT_MS, AFTER_MS, ELECTION_MS = 1000, 100, 1500, 400
@@ -47,13 +47,13 @@
         self.gateways = [f"g{i + 1}" for i in range(gateways)]
         self._ports = Ports()
         names = [*self.replicas, *self.gateways]
-        self.listens = {name: self._ports.take() for name in names}
-        self.admins = {name: self._ports.take() for name in names}
-        self._peers = {name: f"127.0.0.1:{self._ports.take()}" for name in self.voters}
+        self.listens = {name: self._ports.allocate() for name in names}
+        self.admins = {name: self._ports.allocate() for name in names}
+        self._peers = {name: f"127.0.0.1:{self._ports.allocate()}" for name in self.voters}
         self.scene = Scene(gateways, NODES, 1, 0.1, "none")
-        self.usual, volumes, _ = habits(self.scene)
+        self.usual, volumes, _ = volume_loads(self.scene)
         sized = {h.volume: self.usual * 2 for h in volumes}
-        self.nodes = [StandinNode(f"s-{i + 1}", i, Nature(), 1, sized) for i in range(NODES)]
+        self.nodes = [StandinNode(f"s-{i + 1}", i, NodeBehavior(), 1, sized) for i in range(NODES)]
         self.discovery = StandinDiscovery([entry(n.name, n.address, n.shard, "a", "std") for n in self.nodes])
         self._links: dict[tuple[str, str], Link] = {}
         for here, address in self._peers.items():
@@ -125,8 +125,8 @@
         """Cut a voter off from the other voters only, or reconnect it."""
         for pair, link in self._links.items():
             if voter in pair:
-                link.there.cut(is_cut)
-                link.back.cut(is_cut)
+                link.to_target.cut(is_cut)
+                link.from_target.cut(is_cut)
 
     # Calls to the processes.
 
--- a/tests/control_plane_world.py
+++ b/tests/control_plane_world.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from stackrouter.controlplane.codec import MAX_TO_GATEWAY_BYTES, MOST_TO_REPLICA, FrameDecoder, encode
+from stackrouter.controlplane.codec import MAX_TO_GATEWAY_BYTES, MAX_TO_REPLICA_BYTES, FrameDecoder, encode
 from stackrouter.controlplane.conversion import REMOVED, delta_from
 from stackrouter.controlplane.observer import (
     ChangeReceived,
@@ -41,7 +41,7 @@
 from stackrouter.controlplane.routing import ReplicaAddress
 from stackrouter.controlplane.snapshot import ReplicatedState
 from stackrouter.coord.ledger import Ledger
-from stackrouter.coord.policy import PolicyStateMachine, Rules
+from stackrouter.coord.policy import HeartbeatRules, PolicyStateMachine
 from stackrouter.coord.port import (
     Acquire,
     Activate,
@@ -60,17 +60,17 @@
 VALIDITY_US, MAX_DRIFT_US = 800 * MS, 80 * MS
 DRIFT = 0.1  # clock rates lie between 1 - DRIFT and 1 + DRIFT: 720 ms on the slowest clock are 800 ms
 AFTER_US = 1200 * MS
-RULES = Rules(validity_us=VALIDITY_US, max_drift_us=MAX_DRIFT_US)
+RULES = HeartbeatRules(validity_us=VALIDITY_US, max_drift_us=MAX_DRIFT_US)
 LATENCY_US, SLOW_US = 10 * MS, 250 * MS  # maximum one-way latency; of a slow gateway
 LIMITS = ReplicaLimits(
-    most_gateways=4, most_unknown=8, hello_timeout_us=200 * MS, silence_timeout_us=1000 * MS,
-    barrier_interval_us=30 * MS, barrier_timeout_us=150 * MS, snapshots_at_once=1,
+    most_gateways=4, max_unidentified=8, hello_timeout_us=200 * MS, silence_timeout_us=1000 * MS,
+    barrier_interval_us=30 * MS, barrier_timeout_us=150 * MS, max_snapshot_transfers=1,
     snapshot_bytes_s=100_000, snapshot_window_bytes=4000, snapshot_timeout_us=1000 * MS,
-    max_log_entries=4, most_resume_bytes=2000, most_delta_bytes=4000, retry_after_us=20 * MS,
+    max_log_entries=4, max_resume_bytes=2000, max_delta_bytes=4000, retry_after_us=20 * MS,
 )  # fmt: skip
 TIMES = ObserverTimes(
-    connect_timeout_us=300 * MS, welcome_timeout_us=600 * MS, silence=700 * MS, snapshot_timeout_us=2500 * MS,
-    stable_after_us=500 * MS, backoff_base=10 * MS, backoff_most=60 * MS,
+    connect_timeout_us=300 * MS, welcome_timeout_us=600 * MS, silence_timeout_us=700 * MS,
+    snapshot_timeout_us=2500 * MS, stable_after_us=500 * MS, backoff_base_us=10 * MS, backoff_max_us=60 * MS,
 )  # fmt: skip
 VOTERS = ("r0", "r1", "r2")
 RELAY = "q"  # a non-voting replica, which observes a voter
@@ -130,7 +130,7 @@
     replica: Replica
     up: deque[tuple[int, bytes]] = field(default_factory=deque)
     down: deque[tuple[int, bytes]] = field(default_factory=deque)
-    to_replica: FrameDecoder = field(default_factory=lambda: FrameDecoder(MOST_TO_REPLICA))
+    to_replica: FrameDecoder = field(default_factory=lambda: FrameDecoder(MAX_TO_REPLICA_BYTES))
     to_gateway: FrameDecoder = field(default_factory=lambda: FrameDecoder(MAX_TO_GATEWAY_BYTES))
     accepted: bool = False
     stalled: bool = False
@@ -506,7 +506,7 @@
                 if connection.number in self.connections:
                     gateway.carry_out(gateway.observer.received(frame, gateway.clock()))
         waiting = sum(len(data) for _, data in connection.down)
-        replica.carry_out(replica.machine.queued(reader, waiting, self.now))
+        replica.carry_out(replica.machine.unsent_bytes_changed(reader, waiting, self.now))
         if connection.closing and not connection.down and gateway.connection is connection:
             self.drop(connection)
             gateway.connection = None
--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -99,14 +99,14 @@
         self.now = end
         return actions
 
-    def ask(self, volume: str = "v", request_class: int = READ_CLASS, plan: int = FREE_PLAN,
-            units: float = 2.0, shard: int = 0, key: str = "", gateways: int = 1, grace_us: int = 3 * S,
-            name: str = "") -> list[Action]:  # fmt: skip
+    def arrive(self, volume: str = "v", request_class: int = READ_CLASS, plan: int = FREE_PLAN,
+               units: float = 2.0, shard: int = 0, key: str = "", gateways: int = 1,
+               time_left_us: int = 3 * S, name: str = "") -> list[Action]:  # fmt: skip
         """Pass the arrival of one request, named "r1", "r2" ... by default."""
         self.request_count += 1
         request = name or f"r{self.request_count}"
         return self.handle(
-            Arrival(request, request_class, plan, volume, units, shard, gateways, key, grace_us)
+            Arrival(request, request_class, plan, volume, units, shard, gateways, key, time_left_us)
         )
 
     def answer(self, request: str, outcome: Outcome = Outcome.DONE, node: str = "n0", rtt_us: int = 20 * MS,
--- a/tests/races.py
+++ b/tests/races.py
@@ -10,7 +10,7 @@
 
 import gevent
 
-TIMES = 50  # repetitions of each race; every one must pass
+REPETITIONS = 50  # repetitions of each race; every one must pass
 PATIENCE_S = 5.0
 
 
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -13,13 +13,13 @@
 from stackrouter.accounts.accounts import Accounts
 from stackrouter.accounts.book import Book, TimeLine
 from stackrouter.accounts.ledger import ELSEWHERE, Charge
-from stackrouter.accounts.report import Usual, figures, read
+from stackrouter.accounts.report import UsualRates, account_for, figures
 from stackrouter.accounts.sketch import TopSums
 from stackrouter.accounts.split import RequestState, Split
 from stackrouter.accounts.stalls import Fit
 from stackrouter.core import facts
 from stackrouter.core.model import Verdict
-from stackrouter.model.fleet import Outcomes, play
+from stackrouter.model.fleet import Outcomes, simulate
 from stackrouter.model.traffic import Noisy, settings_for
 
 MS = 1_000
@@ -262,13 +262,13 @@
     def subscriber(gateway: int) -> facts.Subscriber:
         return lambda fact: seen.append((gateway, fact))
 
-    outcomes = play(seed, noisy, subscribers=[subscriber(g) for g in range(3)])
+    outcomes = simulate(seed, noisy, subscribers=[subscriber(g) for g in range(3)])
     settings = settings_for(3, 9, seed)
     rates = [plan.usual_units_per_s for plan in settings.plans]
-    usual = Usual(
+    usual = UsualRates(
         (("basic", rates[0]), ("priority", rates[1])), ("match-read", "turn-write"), settings.max_units
     )
-    book = read(usual, lambda: iter(seen))
+    book = account_for(usual, lambda: iter(seen))
     return outcomes, figures(book, usual), book
 
 
@@ -281,7 +281,7 @@
     charged = created = 0
     for seed in (1, 2, 3, 4):
         outcomes, found, book = play_and_read(seed, noisy)
-        quiet = play(seed, noisy, with_noise=False)
+        quiet = simulate(seed, noisy, with_noise=False)
         others = [v for v in outcomes.latency_us if v != outcomes.noisy]
         first = found["causes"][0]
         assert first["volume"] == outcomes.noisy
@@ -298,7 +298,7 @@
 
 
 def test_the_model_is_deterministic_and_without_noise_omits_only_the_excess() -> None:
-    assert play(4, Noisy.BASIC, length_us=3 * S) == play(4, Noisy.BASIC, length_us=3 * S)
-    noisy, quiet = play(4, Noisy.BASIC), play(4, Noisy.BASIC, with_noise=False)
+    assert simulate(4, Noisy.BASIC, length_us=3 * S) == simulate(4, Noisy.BASIC, length_us=3 * S)
+    noisy, quiet = simulate(4, Noisy.BASIC), simulate(4, Noisy.BASIC, with_noise=False)
     assert noisy.noisy == quiet.noisy and noisy.requests > quiet.requests
-    assert play(4, Noisy.NONE).requests == quiet.requests
+    assert simulate(4, Noisy.NONE).requests == quiet.requests
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -32,7 +32,7 @@
 from stackrouter.capacity.measure.run import measure
 from stackrouter.capacity.page import FULL_MESH, SCALE, SLOPES, render
 from stackrouter.capacity.parts import cold_turns
-from stackrouter.capacity.reuse import IDLE_PART, expected_share, simulate
+from stackrouter.capacity.reuse import IDLE_REUSE_FRACTION, expected_share, simulate
 from stackrouter.capacity.rows import BUILT, NOT_MEASURED, estimate_at_target, row
 from stackrouter.capacity.scale import (
     ScaleRun,
@@ -135,11 +135,11 @@
         file = self.folder / "slopes.json"
         slopes.write(file, measured(series("a", lambda x: x), series("b", lambda x: x)))
         newer = measured(series("b", lambda x: 3 * x))
-        together = slopes.merged(file, newer)
+        together = slopes.merge_with_file(file, newer)
         self.assertEqual([one.name for one in together.series], ["a", "b"])
         self.assertEqual(together.find_series("b"), newer.find_series("b"))
         with self.assertRaises(CapacityFileError) as caught:
-            slopes.merged(file, replace(newer, machine=replace(newer.machine, commit="def")))
+            slopes.merge_with_file(file, replace(newer, machine=replace(newer.machine, commit="def")))
         self.assertEqual(caught.exception.key, "machine.commit")
 
     def test_an_invalid_file_is_reported_with_its_key(self) -> None:
@@ -258,7 +258,7 @@
 
 class Models(unittest.TestCase):
     def test_the_model_of_kept_connections_has_the_idle_time_of_the_pool(self) -> None:
-        self.assertEqual(IDLE_PART, pool.IDLE_PART)
+        self.assertEqual(IDLE_REUSE_FRACTION, pool.IDLE_REUSE_FRACTION)
 
     def test_the_simulated_share_of_kept_connections_matches_the_formula(self) -> None:
         for rate_s in (0.02, 0.083, 0.5):
@@ -298,11 +298,11 @@
                          (1000 * control.touch_ms, 1000 * control.max_drift_ms))  # fmt: skip
         limits = control.limits
         self.assertEqual(LIMITS.most_gateways, limits.gateways)
-        self.assertEqual(LIMITS.snapshots_at_once, limits.snapshots)
+        self.assertEqual(LIMITS.max_snapshot_transfers, limits.snapshots)
         self.assertEqual(LIMITS.snapshot_bytes_s, 1024 * limits.snapshot_kb_s)
         self.assertEqual(LIMITS.barrier_interval_us, 1000 * limits.barrier_interval_ms)
-        self.assertEqual(LIMITS.most_queued_bytes, 1024 * limits.queued_kb)
-        self.assertEqual(LIMITS.most_log_bytes, 1024 * limits.deltas_kb)
+        self.assertEqual(LIMITS.max_queued_bytes, 1024 * limits.queued_kb)
+        self.assertEqual(LIMITS.max_log_bytes, 1024 * limits.deltas_kb)
 
     def test_two_lost_regions_leave_a_quorum_and_capacity_for_all_gateways(self) -> None:
         lost = {one.regions_lost: one for one in quorums()}
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,13 +14,13 @@
 
 import pytest
 
-from stackrouter.edge.load import load_apart, parse
+from stackrouter.edge.load import load_in_child_process, parse
 from stackrouter.errors import EdgeError
 
 ROOT = Path(__file__).parent.parent
 
 
-def run(*words: str, environ: dict[str, str] | None = None) -> subprocess.CompletedProcess[str]:
+def run_cli(*words: str, environ: dict[str, str] | None = None) -> subprocess.CompletedProcess[str]:
     """Runs the command line in a child process, without GW_ variables of the caller."""
     command = [sys.executable, "-m", "stackrouter.cli.main", *words]
     clean_environ = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
@@ -139,8 +139,8 @@
 
 
 def test_the_shipped_file_is_valid_and_check_reports_it() -> None:
-    assert load_apart(ROOT / "deploy" / "edge.txtpb").accounts.enabled
-    completed = run("check", "deploy/edge.txtpb", "--json")
+    assert load_in_child_process(ROOT / "deploy" / "edge.txtpb").accounts.enabled
+    completed = run_cli("check", "deploy/edge.txtpb", "--json")
     assert completed.returncode == 0 and json.loads(completed.stdout)["on"] == ["accounts"]
 
 
@@ -156,7 +156,7 @@
         ("fleet", "run", "--nemesis", "flood"),
         ("fleet", "run", "--members", "9-3"),
     ):
-        completed = run(*words)
+        completed = run_cli(*words)
         assert completed.returncode == 2 and completed.stdout == "", words
         assert (
             completed.stderr.startswith("stackrouter: SR-") and completed.stderr.count("\n") == 1
@@ -175,20 +175,20 @@
                 sock.sendall(b'SUCCESS {"version": "newest"}\n')
 
         threading.Thread(target=answer_once, daemon=True).start()
-        completed = run("policy", "status", "--door", address)
+        completed = run_cli("policy", "status", "--door", address)
     assert completed.returncode == 2 and completed.stderr.count("\n") == 1, completed.stderr
     assert completed.stderr.startswith(f"stackrouter: SR-INPUT-DOOR: {address}: no policy status: ")
 
 
 def test_explain_prints_the_meaning_of_a_code_and_the_remedy() -> None:
-    completed = run("explain", "sr-discovery-silent")
+    completed = run_cli("explain", "sr-discovery-silent")
     assert (
         completed.returncode == 0
         and "was not answered in time" in completed.stdout
         and "drain no nodes" in completed.stdout
     )
-    assert len(json.loads(run("explain", "--json").stdout)) > 40
-    assert run("explain", "SR-NONE").returncode == 2
+    assert len(json.loads(run_cli("explain", "--json").stdout)) > 40
+    assert run_cli("explain", "SR-NONE").returncode == 2
 
 
 @pytest.mark.parametrize(
@@ -247,34 +247,35 @@
 
 def test_report_show_and_cut_read_a_trace_of_the_simulation(tmp_path: Path) -> None:
     trace, part_file, page = tmp_path / "t.trace", tmp_path / "part.trace", tmp_path / "t.html"
-    completed = run(
+    completed = run_cli(
         "model", "run", "--seed", "8", "--noisy", "writes", "--seconds", "6", "--trace", str(trace)
     )
     noisy = json.loads(completed.stdout)["noisy"]
     assert noisy.encode() in trace.read_bytes() or completed.returncode == 0
-    completed = run("report", "latency", str(trace), "--json", "--html", str(page))
+    completed = run_cli("report", "latency", str(trace), "--json", "--html", str(page))
     output = json.loads(completed.stdout)
     assert completed.returncode == 0 and output["causes"][0]["volume"] == noisy
     assert {"causes", "pairs", "node_us", "unattributed_us", "sketch_error_us"} <= set(output)
     text = page.read_text()
     assert noisy in text and text.count("<svg") == 4 and "http-equiv" not in text and "<script" not in text
     assert (
-        run("trace", "cut", str(trace), "-o", str(part_file), "--since", "1", "--until", "3").returncode == 0
+        run_cli("trace", "cut", str(trace), "-o", str(part_file), "--since", "1", "--until", "3").returncode
+        == 0
     )
-    shown = json.loads(run("trace", "show", str(part_file), "--json").stdout)
+    shown = json.loads(run_cli("trace", "show", str(part_file), "--json").stdout)
     assert len(shown["runs"]) == 3 and all(row["seconds"] <= 2 for row in shown["runs"])
     part_file.write_bytes(trace.read_bytes()[:-5000])
-    completed = run("trace", "show", str(part_file))
+    completed = run_cli("trace", "show", str(part_file))
     assert completed.returncode == 1 and "the file ends within a block" in completed.stdout
 
 
 def test_the_demo_exits_cleanly_and_its_traces_identify_the_noisy_volume(tmp_path: Path) -> None:
-    completed = run("demo", "--seconds", "12", "--noisy", "priority", "--json", "--trace", str(tmp_path))
+    completed = run_cli("demo", "--seconds", "12", "--noisy", "priority", "--json", "--trace", str(tmp_path))
     assert completed.returncode == 0, completed.stderr
     output = json.loads(completed.stdout)
     assert output["exits"] == [0, 0] and sum(row["served"] for row in output["volumes"]) > 500
     traces = sorted(str(path) for path in tmp_path.glob("*.trace"))
-    completed = run("report", "latency", *traces, "--json")
+    completed = run_cli("report", "latency", *traces, "--json")
     assert completed.returncode == 0, completed.stderr
     report = json.loads(completed.stdout)
     assert report["causes"][0]["volume"] == output["noisy"] and report["gateways"] == ["g1", "g2"]
@@ -286,13 +287,13 @@
         raise OSError(errno.ENOSYS, "fork refused")
 
     monkeypatch.setattr(os, "fork", refused)
-    edge = load_apart(ROOT / "deploy" / "edge.txtpb")
+    edge = load_in_child_process(ROOT / "deploy" / "edge.txtpb")
     assert edge == parse((ROOT / "deploy" / "edge.txtpb").read_text(), "edge.txtpb")
 
 
 def test_the_table_of_bench_accounts_fits_80_columns() -> None:
     # COLUMNS=200 makes rich use the table's natural width; with 80 columns it would wrap cells instead.
-    completed = run("bench", "accounts", "--adds", "1000", "--repeats", "1", environ={"COLUMNS": "200"})
+    completed = run_cli("bench", "accounts", "--adds", "1000", "--repeats", "1", environ={"COLUMNS": "200"})
     assert completed.returncode == 0, completed.stderr
     lines = completed.stdout.splitlines()
     assert len(lines) >= 7, completed.stdout
--- a/tests/test_client_crossings.py
+++ b/tests/test_client_crossings.py
@@ -16,11 +16,11 @@
 
 from stackrouter.core.counters import Counters
 from stackrouter.core.gate import ClientState, Denial
-from stackrouter.core.model import Inbox, client_stays
+from stackrouter.core.model import Inbox, assume_connected
 from stackrouter.net import listener as listening
-from stackrouter.net.listener import Connection, Listener, MalformedError, Patience
+from stackrouter.net.listener import ClientTimeouts, Connection, Listener, MalformedError
 from stackrouter.ops.drain import Drain
-from tests.races import PATIENCE_S, TIMES, wait_until
+from tests.races import PATIENCE_S, REPETITIONS, wait_until
 
 
 class LineSession:
@@ -29,7 +29,7 @@
 
     def __init__(self, wake: Callable[[], None], most: int) -> None:
         self.wake, self.most, self.left = wake, most, False
-        self.client_left = client_stays
+        self.client_hung_up = assume_connected
         self.taken: list[bytes] = []
         self.slots: list[bytes | None] = []
 
@@ -56,7 +56,7 @@
     def full(self) -> bool:
         return len(self.slots) >= self.most
 
-    def gone(self) -> None:
+    def on_disconnect(self) -> None:
         self.left = True
         self.slots.clear()
 
@@ -96,17 +96,17 @@
         self.sessions: list[LineSession] = []
         self.counters, self.drain = Counters(), Drain()
 
-    def listener(self, most: int = 100, pipelined: int = 4, patience_s: float = 9.0) -> Listener:
+    def listener(self, max_clients: int = 100, pipelined: int = 4, patience_s: float = 9.0) -> Listener:
         def session(wake: Callable[[], None]) -> LineSession:
             self.sessions.append(LineSession(wake, pipelined))
             return self.sessions[-1]
 
         listener = Listener(
             ("127.0.0.1", 0),
-            most,
+            max_clients,
             self.counters,
             session,
-            Patience(patience_s, 9.0),
+            ClientTimeouts(patience_s, 9.0),
             b"busy\n",
             drain=self.drain,
         )
@@ -147,13 +147,13 @@
         """Guards against detecting a hangup only after an answer was sent: reading is paused while the
         pipeline is full, so the end of the stream is not read."""
         listener = self.listener(pipelined=2)
-        for i in range(TIMES):
+        for i in range(REPETITIONS):
             with self.subTest(i):
                 self.check_hangup_detected(listener, lambda sock: sock.close(), b"x\nx\n" + b"x\n" * (i % 3))
 
     def test_hangup_behind_a_malformed_request_is_detected_within_100_ms(self) -> None:
         listener = self.listener()
-        for i in range(TIMES):
+        for i in range(REPETITIONS):
             with self.subTest(i):
                 self.check_hangup_detected(listener, lambda sock: sock.close(), b"x\n!\n")
 
@@ -184,7 +184,7 @@
         self.assertNotIn(b"late", session.taken, "must not be taken: its client sends it again")
 
     def test_request_crossing_a_planned_close_is_not_taken_and_causes_no_reset(self) -> None:
-        for i in range(TIMES):
+        for i in range(REPETITIONS):
             listener = self.listener()
             sock, connection = self.served_client(listener)
             with self.subTest("drain", i=i):
@@ -202,7 +202,7 @@
     def test_answer_written_just_before_a_close_is_delivered(self) -> None:
         """Guards against losing the last answer to a reset: the client's next request is unread when the
         connection is ended after that answer."""
-        for i in range(TIMES):
+        for i in range(REPETITIONS):
             with self.subTest(i):
                 listener = self.listener()
                 sock, _ = self.served_client(listener)
@@ -221,9 +221,9 @@
                 self.drain.active()
 
     def test_client_over_the_cap_gets_the_busy_reply_though_its_request_is_unread(self) -> None:
-        for i in range(TIMES):
+        for i in range(REPETITIONS):
             with self.subTest(i), mock.patch.object(listening, "MAX_ROOM_WAIT_S", 0.0):
-                listener = self.listener(most=1)
+                listener = self.listener(max_clients=1)
                 first = self.client(listener, b"x\n")
                 wait_until(lambda d=listener: len(d.connections) == 1, "the first is in")  # type: ignore[misc]
                 sock = self.client(listener, b"x\n" * 20)
@@ -235,7 +235,7 @@
 
     def test_lingering_clients_over_the_cap_are_bounded(self) -> None:
         with mock.patch.object(listening, "MAX_ROOM_WAIT_S", 0.0):
-            listener = self.listener(most=1)
+            listener = self.listener(max_clients=1)
             self.client(listener, b"x\n")
             wait_until(lambda: len(listener.connections) == 1, "the first is in")
             for i in range(40):
@@ -269,7 +269,7 @@
 
     def test_oversized_command_ends_the_connection_after_earlier_answers(self) -> None:
         listener = self.listener()
-        sock = self.client(listener, b"a\n" + b"z" * (listening.INBOX + 10))
+        sock = self.client(listener, b"a\n" + b"z" * (listening.INBOX_BYTES + 10))
         got = b""
         while chunk := sock.recv(100):
             got += chunk
@@ -281,7 +281,7 @@
     def test_stop_is_not_done_before_requests_behind_a_full_pipeline_are_answered(self) -> None:
         """Guards against counting a connection as idle when its first requests are answered but the rest is
         still in the ring buffer."""
-        for i in range(TIMES):
+        for i in range(REPETITIONS):
             with self.subTest(i):
                 listener = self.listener(pipelined=1)
                 sock = self.client(listener, b"x\nx\nx\n")
@@ -312,7 +312,7 @@
                 self.sessions.clear()
 
     def test_request_arriving_as_a_stop_begins_is_served_before_the_end(self) -> None:
-        for i in range(TIMES):
+        for i in range(REPETITIONS):
             with self.subTest(i):
                 listener = self.listener()
                 sock, connection = self.served_client(listener)
@@ -367,7 +367,7 @@
                     self.assertEqual(sock.recv(100), b"a\n")
 
     def test_idle_clients_at_the_cap_are_closed_for_a_client_with_a_request(self) -> None:
-        listener = self.listener(most=20)
+        listener = self.listener(max_clients=20)
         for _ in range(60):
             self.client(listener)
         gevent.sleep(listening.NEW_CONNECTION_GRACE_S)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -26,9 +26,9 @@
     ListUpdate,
     NodeEntry,
     Outcome,
+    ProcessesChanged,
     Send,
     SetTimer,
-    SharersChanged,
     Timer,
 )
 from tests.gateway import MS, READ, SETTINGS, S
@@ -76,7 +76,7 @@
         known = tuple(NodeEntry(f"n{i}", shard=i) for i in range(SHARDS))
         for i in range(count):
             if processes > 1:
-                self.schedule(0, "event", i, SharersChanged(processes, i % processes))
+                self.schedule(0, "event", i, ProcessesChanged(processes, i % processes))
             self.schedule(0, "event", i, ListUpdate(ListKind.FULL, known))
             self.schedule(1 + self.random.randrange(S), "ask", i)
             self.schedule(STARTED_AT + self.random.randrange(S), "inform", i)
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from stackrouter.controlplane import frames_pb2 as pb
-from stackrouter.controlplane.codec import MAX_TO_GATEWAY_BYTES, MOST_TO_REPLICA, FrameDecoder, encode
+from stackrouter.controlplane.codec import MAX_TO_GATEWAY_BYTES, MAX_TO_REPLICA_BYTES, FrameDecoder, encode
 from stackrouter.controlplane.conversion import delta_from, item_from, node_message
 from stackrouter.controlplane.delta_log import DeltaLog
 from stackrouter.controlplane.frames_pb2 import (
@@ -65,8 +65,8 @@
     Snapshot,
     SnapshotAssembler,
 )
-from stackrouter.coord.ledger import MOST_REPORTED, MOST_REPORTS, MOST_VERSIONS, Ledger
-from stackrouter.coord.policy import PolicyStateMachine, Rules, Version
+from stackrouter.coord.ledger import MAX_REPORT_ITEMS, MAX_REPORTS, MAX_VERSIONS, Ledger
+from stackrouter.coord.policy import HeartbeatRules, PolicyStateMachine, Version
 from stackrouter.coord.port import (
     Acquire,
     Activate,
@@ -98,7 +98,7 @@
 
 MS = 1000
 HISTORY = "history-1"
-RULES = Rules(validity_us=1000 * MS, max_drift_us=100 * MS)
+RULES = HeartbeatRules(validity_us=1000 * MS, max_drift_us=100 * MS)
 LIMITS = ReplicaLimits(most_gateways=3, max_log_entries=4, barrier_interval_us=100 * MS)
 
 
@@ -169,13 +169,13 @@
         for data, error in (
             (b"GET / HTTP/1.1\r\n", FrameTooLargeError),
             (b"\x16\x03\x01\x02\x00\x01", FrameTooLargeError),  # the first bytes of TLS
-            ((MOST_TO_REPLICA + 1).to_bytes(4, "big"), FrameTooLargeError),
+            ((MAX_TO_REPLICA_BYTES + 1).to_bytes(4, "big"), FrameTooLargeError),
             (b"\0\0\0\3abc", FrameUnreadableError),
             (b"\0\0\0\0", FrameEmptyError),
             (b"\0\0\0\3\xfa\x07\0", FrameEmptyError),  # a body of a later release
         ):
             with self.subTest(data), self.assertRaises(error):
-                FrameDecoder(MOST_TO_REPLICA).feed(data)
+                FrameDecoder(MAX_TO_REPLICA_BYTES).feed(data)
         whole = encode(Frame(hello=Hello(gateway="g" * 1000)))
         self.assertEqual(len(FrameDecoder(len(whole) - 4).feed(whole)), 1)  # exactly at the limit
         with self.assertRaises(FrameTooLargeError):
@@ -383,7 +383,7 @@
         for base in range(1, 20):
             ledger.apply(Propose("a", base, f"d{base + 1}", "{}", 5))
         numbers = [version.number for version in ledger.policies]
-        self.assertEqual(numbers, [1, *range(22 - MOST_VERSIONS, 21)])
+        self.assertEqual(numbers, [1, *range(22 - MAX_VERSIONS, 21)])
         self.assertEqual(ledger.apply(Activate("a", 5))[0], "gone")  # a starting gateway could not learn it
         self.assertEqual(ledger.apply(Activate("a", 20))[0], "")
         ledger.apply(Propose("a", 20, "d21", "{}", 5))
@@ -391,12 +391,12 @@
 
     def test_reports_are_kept_by_replica_and_bounded(self) -> None:
         ledger = self.ledger(BeginHistory("a", HISTORY))
-        for n in range(MOST_REPORTS + 5):
+        for n in range(MAX_REPORTS + 5):
             ledger.apply(Barrier(f"r{n}", ServingReport(n, ((1, n),), ("g",))))
-        self.assertEqual(len(ledger.reports), MOST_REPORTS)
+        self.assertEqual(len(ledger.reports), MAX_REPORTS)
         self.assertNotIn("r4", ledger.reports)
         self.assertEqual(ledger.reports["r9"], ServingReport(9, ((1, 9),), ("g",)))
-        too_many = ServingReport(1, (), ("g",) * (MOST_REPORTED + 1))
+        too_many = ServingReport(1, (), ("g",) * (MAX_REPORT_ITEMS + 1))
         self.assertEqual(ledger.apply(Barrier("r9", too_many))[0], "size")
         self.assertEqual(ledger.position(), LogPosition(HISTORY, 0))  # a barrier is not a change
 
@@ -459,7 +459,7 @@
         self.carry_out(self.machine.committed(delta.number, delta, self.now))
 
     def drain(self, reader: int) -> None:
-        self.carry_out(self.machine.queued(reader, 0, self.now))
+        self.carry_out(self.machine.unsent_bytes_changed(reader, 0, self.now))
 
     def bodies(self, reader: int) -> list[str]:
         """Kinds of the frames written to a reader since the last call."""
@@ -507,7 +507,7 @@
         self.assertEqual([replica.bodies(n) for n in (3, 4)], [["delta"], ["delta"]])
 
     def test_many_missed_changes_are_sent_as_a_snapshot(self) -> None:
-        replica = Replica(state(0, 5), ReplicaLimits(most_resume_bytes=200))
+        replica = Replica(state(0, 5), ReplicaLimits(max_resume_bytes=200))
         for number in range(1, 10):
             replica.commit(change(number))
         replica.hello(1, resume=LogPosition(HISTORY, 0))
@@ -633,7 +633,7 @@
         self.assertEqual(replica.answered(1), [2])
 
     def test_a_too_large_change_is_sent_as_a_snapshot(self) -> None:
-        replica = Replica(state(3, 5), ReplicaLimits(most_delta_bytes=500))
+        replica = Replica(state(3, 5), ReplicaLimits(max_delta_bytes=500))
         replica.hello(1)
         replica.bodies(1)
         nodes = [node_message(item(n)) for n in range(200)]
@@ -643,7 +643,7 @@
         self.assertEqual(replica.bodies(1), ["delta"])
 
     def test_only_a_slow_reader_is_disconnected(self) -> None:
-        replica = Replica(state(0, 1), ReplicaLimits(most_queued_bytes=4000))
+        replica = Replica(state(0, 1), ReplicaLimits(max_queued_bytes=4000))
         replica.hello(1)
         replica.hello(2)
         for number in range(1, 200):
@@ -653,11 +653,13 @@
         self.assertLess(replica.bytes[1], 5000)
         self.assertNotIn(2, replica.closed)
         self.assertEqual(replica.bodies(2).count("delta"), 199)
-        replica.carry_out(replica.machine.queued(2, 4001, replica.now))
+        replica.carry_out(replica.machine.unsent_bytes_changed(2, 4001, replica.now))
         self.assertEqual(replica.closed[2].reason, pb.READER_TOO_SLOW)
 
     def test_a_reader_that_stalls_its_snapshot_is_disconnected_and_frees_its_slot(self) -> None:
-        limits = ReplicaLimits(snapshots_at_once=1, snapshot_window_bytes=1, snapshot_timeout_us=3000 * MS)
+        limits = ReplicaLimits(
+            max_snapshot_transfers=1, snapshot_window_bytes=1, snapshot_timeout_us=3000 * MS
+        )
         replica = Replica(state(0, 1000), limits)
         replica.hello(1)
         replica.hello(2)
@@ -688,7 +690,7 @@
         for reader, data, reason in ((7, b"GET / HTTP", pb.FRAME_TOO_LARGE), (8, b"\0\0\0\1x", pb.BAD_FRAME)):
             replica.carry_out(replica.machine.accepted(reader, replica.now))
             try:
-                FrameDecoder(MOST_TO_REPLICA).feed(data)
+                FrameDecoder(MAX_TO_REPLICA_BYTES).feed(data)
             except FrameError as error:
                 replica.carry_out(replica.machine.unreadable(reader, error, replica.now))
             self.assertEqual((replica.closed[reader].reason, replica.bodies(reader)), (reason, ["reject"]))
@@ -705,10 +707,10 @@
         replica.hello(4, "g1")  # the gateway reconnected before its old connection timed out
         self.assertEqual(replica.closed[1].reason, pb.REPLACED)
         self.assertNotIn(4, replica.closed)
-        for reader in range(100, 100 + LIMITS.most_unknown + 1):
+        for reader in range(100, 100 + LIMITS.max_unidentified + 1):
             replica.carry_out(replica.machine.accepted(reader, replica.now))
-        self.assertEqual(replica.closed[100 + LIMITS.most_unknown].reason, pb.REPLICA_FULL)
-        self.assertEqual(len(replica.machine.report(replica.now).readers), 3 + LIMITS.most_unknown)
+        self.assertEqual(replica.closed[100 + LIMITS.max_unidentified].reason, pb.REPLICA_FULL)
+        self.assertEqual(len(replica.machine.report(replica.now).readers), 3 + LIMITS.max_unidentified)
 
     def test_disconnects_silent_readers_and_rejects_all_at_shutdown(self) -> None:
         replica = Replica(state(3))
@@ -731,7 +733,7 @@
         report = replica.machine.serving_report()
         self.assertEqual(report, ServingReport(30, ((1, 5), (2, 25)), tuple(f"g{n}" for n in range(25, 30))))
         replica.commit(Delta(number=4, activated=3))
-        self.assertEqual(len(replica.machine.serving_report().behind), MOST_REPORTED)
+        self.assertEqual(len(replica.machine.serving_report().behind), MAX_REPORT_ITEMS)
         for reader in range(29):
             replica.heartbeat(reader, 2, 3)
         replica.carry_out(replica.machine.disconnected(0, replica.now))
@@ -757,13 +759,13 @@
         self.assertEqual(report, ServingReport(71, ((1, 1), (2, 70)), ("far",)))
         summary = ServingSummary(gateways=5, behind=["g"] * 50)
         replica.receive(2, Frame(heartbeat=Heartbeat(sequence=99, relayed=summary)))
-        self.assertEqual(len(replica.machine.serving_report().behind), MOST_REPORTED)
+        self.assertEqual(len(replica.machine.serving_report().behind), MAX_REPORT_ITEMS)
         replica.carry_out(replica.machine.disconnected(2, replica.now))
         self.assertEqual(replica.machine.serving_report(), ServingReport(1, ((2, 1),), ()))
 
     def test_snapshots_to_a_thousand_simultaneous_readers_are_rate_limited(self) -> None:
         limits = ReplicaLimits(
-            most_gateways=1000, most_unknown=1000, snapshots_at_once=8, snapshot_bytes_s=1 << 20,
+            most_gateways=1000, max_unidentified=1000, max_snapshot_transfers=8, snapshot_bytes_s=1 << 20,
             snapshot_window_bytes=1 << 16,
         )  # fmt: skip
         replica = Replica(state(3, 600), limits)
@@ -970,7 +972,7 @@
         self.assertTrue(gateway.policy.heartbeat_valid(gateway.now))
 
     def test_heartbeat_validity_starts_when_the_heartbeat_is_sent(self) -> None:
-        gateway = Gateway(times=ObserverTimes(silence=10_000 * MS))
+        gateway = Gateway(times=ObserverTimes(silence_timeout_us=10_000 * MS))
         gateway.connect()
         gateway.snapshot(state(7))
         sent_at = gateway.now
@@ -1039,7 +1041,7 @@
         gateway.advance(RULES.heartbeat_every_us)
         for _ in range(20):
             gateway.receive(delta=change(gateway.observer.position.number + 1))  # changes are not answers
-            gateway.advance(times.silence // 16)
+            gateway.advance(times.silence_timeout_us // 16)
         self.assertIsInstance(gateway.errors[2], ReplicaSilentError)
         self.assertEqual(len(set(gateway.connects[:3])), 3)
 
@@ -1050,7 +1052,7 @@
             gateway.advance(1000 * MS)
             gateway.receive(snapshot_queued=SnapshotQueued(ahead=5))
         self.assertEqual(gateway.errors, [])
-        gateway.advance(gateway.observer.times.silence)
+        gateway.advance(gateway.observer.times.silence_timeout_us)
         self.assertIsInstance(gateway.errors[0], ReplicaSilentError)
 
     def test_rejections_try_the_next_replica_and_backoff_resets_after_a_stable_connection(self) -> None:
@@ -1071,7 +1073,7 @@
             gateway.advance(100 * MS)
         before = gateway.now
         gateway.carry_out(gateway.observer.disconnected(gateway.now))
-        self.assertLessEqual(gateway.observer.next_at() - before, gateway.observer.times.backoff_base)
+        self.assertLessEqual(gateway.observer.next_at() - before, gateway.observer.times.backoff_base_us)
 
     def test_invalid_frames_end_the_connection_once(self) -> None:
         for frame in (
--- a/tests/test_control_plane_processes.py
+++ b/tests/test_control_plane_processes.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-from stackrouter.controlplane.codec import MOST_TO_REPLICA, encode
+from stackrouter.controlplane.codec import MAX_TO_REPLICA_BYTES, encode
 from stackrouter.controlplane.frames_pb2 import (
     BAD_FRAME,
     FRAME_TOO_LARGE,
@@ -142,7 +142,7 @@
     def test_foreign_bytes_on_the_port_get_one_error_and_affect_nothing_else(self) -> None:
         group = self.group
         before = {g: group.control(g)["hangups"] for g in group.gateways}
-        too_large = (MOST_TO_REPLICA + 1).to_bytes(4, "big")
+        too_large = (MAX_TO_REPLICA_BYTES + 1).to_bytes(4, "big")
         unreadable = (5).to_bytes(4, "big") + b"\xff" * 5
         early = encode(Frame(heartbeat=Heartbeat(sequence=1)))
         from_replica = encode(Frame(reject=Reject()))
--- a/tests/test_control_raft.py
+++ b/tests/test_control_raft.py
@@ -76,7 +76,7 @@
     def ask(self, command: Command) -> Answered:
         """Submit a command repeatedly until it is applied or refused by the ledger; return the answer."""
         while True:
-            number = self.store.ask(command)
+            number = self.store.submit(command)
             self.wait_until(lambda number=number: number in self.answers)  # type: ignore[misc]
             if self.answers[number].accepted or self.answers[number].why in ("base", "active", "history"):
                 return self.answers[number]
--- a/tests/test_control_sockets.py
+++ b/tests/test_control_sockets.py
@@ -33,18 +33,18 @@
 from stackrouter.controlplane.snapshot import ReplicatedState
 from stackrouter.controlplane.source import NoSink, ReplicaSource
 from stackrouter.coord.member import boottime_us
-from stackrouter.coord.policy import Rules
+from stackrouter.coord.policy import HeartbeatRules
 from stackrouter.coord.port import LogPosition, ServingReport
 from stackrouter.core.counters import Counters
 from stackrouter.edge.config import Control, Replica
 from stackrouter.errors import ConfigValueError
-from stackrouter.membership.list_changes import PIECE
+from stackrouter.membership.list_changes import MAX_PIECE_ENTRIES
 from stackrouter.membership.listing import Listing
 from stackrouter.net.discovery import Discovery
 from tests.control_group import RawConnection
 
-RULES = Rules(validity_us=1_000_000, max_drift_us=100_000)
-TIMES = ObserverTimes(silence=300_000, backoff_base=5_000, backoff_most=20_000)
+RULES = HeartbeatRules(validity_us=1_000_000, max_drift_us=100_000)
+TIMES = ObserverTimes(silence_timeout_us=300_000, backoff_base_us=5_000, backoff_max_us=20_000)
 LIMITS = ReplicaLimits(barrier_interval_us=10_000)
 WAIT_S = 5.0
 NODES = 3000
@@ -201,7 +201,7 @@
         relay.start()
         wait_for(lambda: machine.ready, "the relay is not ready")
         address = ReplicaAddress("relay", "{}:{}".format(*server.address), "r")
-        patient = ObserverTimes(silence=10**9, backoff_base=5_000, backoff_most=20_000)
+        patient = ObserverTimes(silence_timeout_us=10**9, backoff_base_us=5_000, backoff_max_us=20_000)
         sink = Sink()
         client = ObserverClient(GatewayIdentity("g", "g#1", "r"), [address], RULES, sink, Random(1),
                                 times=patient)  # fmt: skip
@@ -217,7 +217,7 @@
         self.assertEqual(client.figures().connections, 1)
 
     def test_disconnects_only_the_reader_that_never_drains_its_connection(self) -> None:
-        replica = self.replica(limits=ReplicaLimits(barrier_interval_us=10_000, most_queued_bytes=1 << 20))
+        replica = self.replica(limits=ReplicaLimits(barrier_interval_us=10_000, max_queued_bytes=1 << 20))
         client, sink = self.observer("good", replica)
         wait_for(lambda: sink.index == 7, "the list has not come")
         slow = RawConnection(replica.server.address[1])
@@ -253,7 +253,9 @@
         wait_for(replica.server.idle, "connections are left")
 
     def test_closes_connections_over_the_limit_and_accepts_new_ones_later(self) -> None:
-        replica = self.replica(limits=ReplicaLimits(most_gateways=1, most_unknown=20, hello_timeout_us=10**9))
+        replica = self.replica(
+            limits=ReplicaLimits(most_gateways=1, max_unidentified=20, hello_timeout_us=10**9)
+        )
         socks = [socket.create_connection(replica.server.address) for _ in range(25)]
         rejected = "control.rejected_replica_full"
         wait_for(lambda: replica.server.counters[rejected] == 5, "more than the bound were taken")
@@ -274,7 +276,7 @@
 
     def setUp(self) -> None:
         self.lists: list[dict[str, Any]] = []
-        discovery = SimpleNamespace(follow=self.lists.append, fleet=None)
+        discovery = SimpleNamespace(apply_relayed=self.lists.append, fleet=None)
         replica = Replica("a", "127.0.0.1:1", "r")
         control = Control(enabled=True, region="r", replica=(replica,), stale_ms=1000)
         self.gateway = GatewayControl("g", control, cast(Discovery, discovery), Counters(), lambda text: None)
@@ -290,7 +292,7 @@
         wait_for(lambda: not self.gateway.lists_pending, "a list has not come to the engine")
 
     def discovery_answered(self, index: int) -> None:
-        self.gateway.told(None, {"index": index, "endpoints": []})
+        self.gateway.listing_received(None, {"index": index, "endpoints": []})
 
     def queries_discovery(self) -> bool:
         return self.gateway.wait_s() == 0.0
@@ -348,5 +350,5 @@
 
         gevent.get_hub().loop.run_callback(deliver)  # like callbacks of the client's sockets and timers
         wait_for(lambda: bool(delivered) and delivered[-1][1] == ["new"], "the change has not come")
-        self.assertLessEqual(max(len(entries) for _, entries in delivered), PIECE)
+        self.assertLessEqual(max(len(entries) for _, entries in delivered), MAX_PIECE_ENTRIES)
         self.assertEqual([name for _, entries in delivered for name in entries], [*names, "new"])
--- a/tests/test_coord.py
+++ b/tests/test_coord.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from stackrouter.coord.fence import Fence
-from stackrouter.coord.lease import Ask, Begin, End, LeaseClient, Timing, bears
+from stackrouter.coord.lease import Begin, End, LeaseClient, Submit, Timing, within_drift_bound
 from stackrouter.coord.ledger import Ledger
 from stackrouter.coord.port import (
     UNKNOWN,
@@ -35,10 +35,10 @@
 )
 from stackrouter.coord.watch import Follower, Role, Verdict
 from stackrouter.fleet.check import Action, Fault, check
-from stackrouter.fleet.schedule import DEFAULT, draw
+from stackrouter.fleet.schedule import DEFAULT_KINDS, draw
 
 MS = 1000
-TIMING = Timing(ttl_us=800 * MS, max_drift_us=80 * MS, renew_us=180 * MS, ask_us=180 * MS)
+TIMING = Timing(ttl_us=800 * MS, max_drift_us=80 * MS, renew_us=180 * MS, answer_timeout_us=180 * MS)
 END_MS = 8000
 
 
@@ -66,10 +66,10 @@
         if not self.is_partitioned(i, ms) and self.rng.random() >= self.loss:
             self.in_flight.append((ms + self.rng.randint(1, 120), i, deliver_message))
 
-    def carry_out(self, ms: int, i: int, actions: list[Ask | Begin | End]) -> None:
+    def carry_out(self, ms: int, i: int, actions: list[Submit | Begin | End]) -> None:
         for action in actions:
             self.begin_count += isinstance(action, Begin)
-            if isinstance(action, Ask):
+            if isinstance(action, Submit):
                 number = self.rng.getrandbits(48)
                 if not isinstance(action.command, Release):
                     self.clients[i].command_sent(number, self.clock(i, ms))
@@ -125,14 +125,14 @@
         self, seed: int, loss: float, spans: list[tuple[int, int, int]], rates: list[float]
     ) -> None:
         """Guards against overlapping holders when messages are delayed or lost, or members partitioned."""
-        self.assertTrue(bears(TIMING, min(rates), max(rates)))
+        self.assertTrue(within_drift_bound(TIMING, min(rates), max(rates)))
         simulation = LeaseSimulation(rates, seed, loss, [(m, at, at + long) for m, at, long in spans])
         self.assertEqual(overlaps(simulation.run()), 0)
 
     def test_holders_overlap_only_beyond_the_drift_bound_and_the_fence_rejects_the_older(self) -> None:
         # Member 0 holds the duty and is partitioned; its clock runs slower than member 1's.
         for ratio, held in ((0.91, True), (0.50, False)):
-            self.assertEqual(bears(TIMING, ratio, 1.0), held)
+            self.assertEqual(within_drift_bound(TIMING, ratio, 1.0), held)
             observations = LeaseSimulation([ratio, 1.0], 1, 0.0, [(1, 0, 300), (0, 1500, 4000)]).run()
             self.assertIn(1, {member for _, _, member in observations})  # member 1 did take over
             self.assertEqual(overlaps(observations) == 0, held, ratio)
@@ -141,7 +141,7 @@
 
     def test_a_holder_paused_past_its_lease_does_not_act_and_a_late_answer_begins_no_lease(self) -> None:
         client = LeaseClient("d", "a", TIMING, 0)
-        self.assertEqual(client.tick(0), [Ask(Acquire("d", "a", (0, 0)))])
+        self.assertEqual(client.tick(0), [Submit(Acquire("d", "a", (0, 0)))])
         client.command_sent(1, 0)
         # The answer arrives after the lease has ended.
         self.assertEqual(client.answered(Answered(1, True, Lease("d", "a", 1)), 720 * MS), [])
@@ -178,7 +178,7 @@
         client.tick(0)
         self.assertIn(Begin("d", 1), client.lease_seen(Lease("d", "a", 1), 10 * MS))
         self.assertIn(End("d", 1, "lapsed"), client.tick(900 * MS))
-        self.assertIn(Ask(Acquire("d", "a", (1, 0))), client.tick(1700 * MS))
+        self.assertIn(Submit(Acquire("d", "a", (1, 0))), client.tick(1700 * MS))
         self.assertNotIn(Begin("d", 1), client.lease_seen(Lease("d", "a", 1), 1710 * MS))  # from a snapshot
 
     def test_a_restarted_member_does_not_act_under_the_lease_of_its_previous_process(self) -> None:
@@ -186,7 +186,7 @@
         self.assertEqual(client.lease_seen(Lease("d", "a#1", 4, 2), 0), [])
         self.assertIsNone(client.fencing_token(1))
         self.assertEqual(client.tick(799 * MS), [])
-        self.assertEqual(client.tick(800 * MS), [Ask(Acquire("d", "a#2", (4, 2)))])
+        self.assertEqual(client.tick(800 * MS), [Submit(Acquire("d", "a#2", (4, 2)))])
 
 
 class LedgerTest(unittest.TestCase):
@@ -237,14 +237,14 @@
     ) -> None:
         f = Follower(stale_us=100)
         # An old list replayed from the journal, before this member's first call to discovery.
-        self.assertEqual(f.takes(0, 1, None, 9), Verdict.LEAVE)
+        self.assertEqual(f.verdict_on(0, 1, None, 9), Verdict.IGNORE)
         self.assertEqual(f.role(0, False), Role.ALONE)
-        f.asked(5)
-        self.assertEqual(f.takes(10, 2, 5, 6), Verdict.TAKE)
+        f.queried(5)
+        self.assertEqual(f.verdict_on(10, 2, 5, 6), Verdict.APPLY)
         self.assertEqual((f.role(20, False), f.role(20, True)), (Role.FOLLOW, Role.WATCH))
-        self.assertEqual(f.takes(30, 1, 6, 7), Verdict.LEAVE)  # from a superseded watcher
-        self.assertEqual(f.takes(40, 2, 7, 8), Verdict.GAP)
-        self.assertEqual(f.takes(50, 2, None, 5), Verdict.LEAVE)  # older than the member's list
+        self.assertEqual(f.verdict_on(30, 1, 6, 7), Verdict.IGNORE)  # from a superseded watcher
+        self.assertEqual(f.verdict_on(40, 2, 7, 8), Verdict.GAP)
+        self.assertEqual(f.verdict_on(50, 2, None, 5), Verdict.IGNORE)  # older than the member's list
         self.assertEqual(f.role(109, False), Role.FOLLOW)
         self.assertEqual(f.role(110, False), Role.ALONE)
 
@@ -266,10 +266,10 @@
 
     def test_a_seed_draws_the_same_schedule_with_clock_rates_within_the_drift_bound(self) -> None:
         for seed in range(200):
-            drawn = draw(seed, 5, DEFAULT, 6.0, 800 * MS, 80 * MS, ("d",))
-            self.assertEqual(drawn, draw(seed, 5, DEFAULT, 6.0, 800 * MS, 80 * MS, ("d",)))
+            drawn = draw(seed, 5, DEFAULT_KINDS, 6.0, 800 * MS, 80 * MS, ("d",))
+            self.assertEqual(drawn, draw(seed, 5, DEFAULT_KINDS, 6.0, 800 * MS, 80 * MS, ("d",)))
             rates = [1 + ppm / 1e6 for ppm in drawn.clock_ppm]
-            self.assertTrue(bears(TIMING, min(rates), max(rates)))
+            self.assertTrue(within_drift_bound(TIMING, min(rates), max(rates)))
 
 
 class RaftTest(unittest.TestCase):
@@ -290,7 +290,7 @@
                 while answered < 3 * COMPACT_ENTRIES:
                     self.assertLess(time.monotonic(), until, (asked, answered))
                     if asked - answered < 500:
-                        store.ask(Append("note", "a", "x" * 100))
+                        store.submit(Append("note", "a", "x" * 100))
                         asked += 1
                         continue
                     received = [e for e in store.events() if isinstance(e, Answered)]
@@ -329,7 +329,7 @@
         return found[-1]
 
     def ask(self, i: int, command: Command) -> Answered:
-        number = self.stores[i].ask(command)
+        number = self.stores[i].submit(command)
         answer = self.wait_for_event(i, lambda e: isinstance(e, Answered) and e.number == number)
         assert isinstance(answer, Answered)
         return answer
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -13,7 +13,7 @@
 def calls_per_event(nodes: int, gateways: int, volumes: int) -> float:
     gateway = Gateway(replace(SETTINGS, gateways=gateways), nodes=nodes)
     for i in range(volumes):
-        gateway.ask(volume=f"old{i}", shard=i % nodes)
+        gateway.arrive(volume=f"old{i}", shard=i % nodes)
     for send in (done := gateway.sends()):
         gateway.answer(send.request, node=send.node)
         done += [new for new in gateway.sends()[len(done) :]]
@@ -46,7 +46,7 @@
 def test_gone_nodes_idle_volumes_and_finished_requests_are_dropped() -> None:
     gateway = Gateway(nodes=2)
     for i in range(300):
-        gateway.ask(volume=f"v{i}", plan=LIMITED_PLAN if i % 2 else FREE_PLAN, name=f"a{i}")
+        gateway.arrive(volume=f"v{i}", plan=LIMITED_PLAN if i % 2 else FREE_PLAN, name=f"a{i}")
         if f"a{i}" in gateway.attempts:
             gateway.answer(f"a{i}")
         gateway.wait(500 * MS)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -4,8 +4,8 @@
 The rules: `run` ends with `exec` in one process, linked dynamically against the C library; fork, other
 programs, io_uring, splice, sendfile and sockets other than TCP or UDP over IPv4 are refused, and a thread
 that neither waits nor ends for 20 s counts as a crash. The platform doesn't use the operator's file, whose
-features may fork once (`edge.load.load_apart`) and start threads (the trace writer), so these tests run
-without it.
+features may fork once (`edge.load.load_in_child_process`) and start threads (the trace writer), so these
+tests run without it.
 """
 
 from __future__ import annotations
@@ -124,10 +124,11 @@
     def test_a_call_is_one_line_or_the_text_before_the_close(self) -> None:
         from gevent import socket as gsocket
 
-        from stackrouter.net.admin import LONGEST, _read_line
+        from stackrouter.net.admin import MAX_CALL_BYTES, _read_line
 
         cases = [(b"status\n", False, "status"), (b"status", True, "status"), (b"sta", False, None),
-                 (b"x" * (LONGEST + 1) + b"\n", False, None), (b"st\xffus\n", False, None)]  # fmt: skip
+                 (b"x" * (MAX_CALL_BYTES + 1) + b"\n", False, None),
+                 (b"st\xffus\n", False, None)]  # fmt: skip
         for sent, close, word in cases:
             ours, theirs = gsocket.socketpair()
             with ours, theirs:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -15,7 +15,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stackrouter.ops.admin_queue import Crowd
+from stackrouter.ops.admin_queue import CallerQueue
 from tests.exchange import PATIENCE_S, ROOT, SETTINGS, Discovery, Player, free_address
 
 Steps = st.lists(st.tuples(st.floats(0.0, 0.1), st.booleans()), max_size=60)
@@ -26,21 +26,21 @@
     def test_longest_silent_caller_is_evicted_but_not_before_its_time(
         self, steps: list[tuple[float, bool]]
     ) -> None:
-        crowd: Crowd[int] = Crowd(4, 0.04)
+        queue: CallerQueue[int] = CallerQueue(4, 0.04)
         now, since = 0.0, dict[int, float]()
         for caller, (pause, leaves) in enumerate(steps):
             now += pause
             if leaves and since:
-                crowd.leave(first := min(since))
+                queue.leave(first := min(since))
                 del since[first]
-            now += crowd.wait_s(now)
-            if (evicted := crowd.gives_way(now)) is not None:
+            now += queue.wait_s(now)
+            if (evicted := queue.evictable(now)) is not None:
                 self.assertEqual(since[evicted], min(since.values()))
                 self.assertGreaterEqual(now - since.pop(evicted) + 1e-9, 0.04)
-                crowd.leave(evicted)
-            crowd.enter(caller, now)
+                queue.leave(evicted)
+            queue.enter(caller, now)
             since[caller] = now
-            self.assertLessEqual(len(crowd), 4)
+            self.assertLessEqual(len(queue), 4)
 
 
 def connect(address: str, line: bytes) -> socket.socket:
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -26,26 +26,30 @@
     def test_a_new_connection_has_time_for_its_first_request(self) -> None:
         drain = Drain()
         drain.standby(10.0)
-        self.assertFalse(drain.closes(10.1, owed=False, readable=False, asked=False, active_at=10.05))
+        self.assertFalse(drain.should_close(10.1, owed=False, readable=False, asked=False, active_at=10.05))
         self.assertTrue(
-            drain.closes(
+            drain.should_close(
                 10.06 + NEW_CONNECTION_GRACE_S, owed=False, readable=False, asked=False, active_at=10.05
             )
         )
         # One that was idle long before the standby has the same time, counted from the standby.
-        self.assertFalse(drain.closes(10.01, owed=False, readable=False, asked=False, active_at=1.0))
+        self.assertFalse(drain.should_close(10.01, owed=False, readable=False, asked=False, active_at=1.0))
 
     @given(times, times, st.booleans(), st.booleans(), st.booleans(), times)
     def test_no_connection_with_an_owed_answer_or_unread_bytes_is_closed(
         self, since: float, now: float, owed: bool, readable: bool, asked: bool, active_at: float
     ) -> None:
         drain = Drain()
-        self.assertFalse(drain.closes(now, owed=owed, readable=readable, asked=asked, active_at=active_at))
+        self.assertFalse(
+            drain.should_close(now, owed=owed, readable=readable, asked=asked, active_at=active_at)
+        )
         drain.standby(since)
-        closes = drain.closes(now, owed=owed, readable=readable, asked=asked, active_at=active_at)
+        closes = drain.should_close(now, owed=owed, readable=readable, asked=asked, active_at=active_at)
         if owed or readable:
             self.assertFalse(closes)
         elif asked:
             self.assertTrue(closes)
         drain.active()
-        self.assertFalse(drain.closes(now, owed=owed, readable=readable, asked=asked, active_at=active_at))
+        self.assertFalse(
+            drain.should_close(now, owed=owed, readable=readable, asked=asked, active_at=active_at)
+        )
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -18,7 +18,7 @@
 # Not shown to operators: errors of peers and control flow, which are caught where they are answered.
 INTERNAL_ERRORS = {
     "ShortError", "ProtocolError", "MalformedError", "BadCommandError", "PacketError", "RequestError",
-    "HurriedError", "DeniedError", "ConnectionResetError", "BufferError", "OSError", "TimeoutError",
+    "CallCutShortError", "DeniedError", "ConnectionResetError", "BufferError", "OSError", "TimeoutError",
     "GreenletExit", "Exit",
 }  # fmt: skip
 # Modules whose ValueError reports invalid bytes or arguments to another module, which catches it.
@@ -41,7 +41,7 @@
         if isinstance(called, ast.Attribute) or (isinstance(called, ast.Name) and called.id[0].isupper()):
             kind = called.attr if isinstance(called, ast.Attribute) else getattr(called, "id", "?")
             known = (
-                kind in coded or kind in INTERNAL_ERRORS or kind == "within" or (name, kind) in MODEL_ERRORS
+                kind in coded or kind in INTERNAL_ERRORS or kind == "in_file" or (name, kind) in MODEL_ERRORS
             )
             if not known and not (kind == "ValueError" and name in VALUE_ERRORS):
                 yield f"{name}:{called.lineno}: raise {kind}"
@@ -84,14 +84,14 @@
     def test_an_error_has_its_location_on_one_line_and_can_be_pickled(self) -> None:
         error = errors.EdgeTextError("no such\n  field", file="a.txtpb", line=7, key="log", address="h:1")
         self.assertEqual(str(error), "a.txtpb: line 7: log: h:1: no such field")
-        self.assertEqual(error.whole(), f"SR-EDGE-TEXT: {error}. {errors.EdgeTextError.do}")
+        self.assertEqual(error.one_line(), f"SR-EDGE-TEXT: {error}. {errors.EdgeTextError.do}")
         again = pickle.loads(pickle.dumps(error))
         self.assertEqual((type(again), again.fields()), (type(error), error.fields()))
 
     def test_a_log_line_begins_with_its_code_and_has_the_location(self) -> None:
         log = logging.getLogger("stackrouter.test")
         with self.assertLogs(log) as caught:
-            errors.tell(log, errors.SilentError("discovery is silent", address="h:1"), "watch")
+            errors.log_error(log, errors.SilentError("discovery is silent", address="h:1"), "watch")
         self.assertEqual(
             caught.records[0].getMessage(), "SR-DISCOVERY-SILENT: watch: h:1: discovery is silent"
         )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
 from stackrouter.fleet.options import HarnessOptions
 from stackrouter.fleet.raft_log import last_index
 from stackrouter.fleet.sweep import read_end
-from tests.test_cli import run as command
+from tests.test_cli import run_cli as command
 
 RUN_KEYS = (
     "members seed runs failed overlaps belief_overlaps refused actions unfinished faults by_kind handoffs "
@@ -127,14 +127,14 @@
         total = SweepFigures("3", 1, 2, False)
         total.add(one)
         total.add(figures(2))
-        values = Bounds.of(HarnessOptions()).judged(total.to_json())
+        values = Bounds.of(HarnessOptions()).with_verdict(total.to_json())
         self.assertEqual(set(values), {*SWEEP_KEYS.split(), "handoff_bound_ms", "ok"})
         self.assertEqual(
             (values["runs"], values["faults"], values["exits"], values["ok"]), (2, 4, {"0": 6}, True)
         )
         self.assertEqual((values["cpu_ms_s"], values["p99_by_kind"]), (80.0, {"kill": 900.0, "stall": None}))
         policy_bounds = Bounds.of(HarnessOptions(policy=True))
-        values = policy_bounds.judged(SweepFigures("3", 1, 0, True).to_json())
+        values = policy_bounds.with_verdict(SweepFigures("3", 1, 0, True).to_json())
         keys = {*SWEEP_KEYS.split(), *SWEEP_POLICY_KEYS.split()}
         self.assertEqual(set(values), keys | {"split_bound_ms", "handoff_bound_ms", "ok"})
         self.assertEqual(values["split_bound_ms"], 1160.0)
@@ -155,12 +155,12 @@
         for total in (SweepFigures("3", 7, 2, False), SweepFigures("3", 7, 3, False)):
             total.add(figures(5))
             total.add_failed(7, ends[0].why)
-            values = bounds.judged(total.to_json())
+            values = bounds.with_verdict(total.to_json())
             self.assertEqual((values["failed"], values["harnesses_finished"], values["ok"]), (1, 1, False))
             self.assertEqual(values["harnesses_unfinished"], values["harnesses"] - 1)
         incomplete = SweepFigures("3", 7, 1, False)
         incomplete.add(figures(5, exits={"0": 2}))  # the exit code of one of three members is missing
-        values = bounds.judged(incomplete.to_json())
+        values = bounds.with_verdict(incomplete.to_json())
         self.assertEqual((values["harnesses_unfinished"], values["ok"]), (1, False))
         self.assertEqual(values["bad_seeds"], ["5: 2 of 3 members ended"])
 
@@ -168,13 +168,13 @@
         for name in ("overlaps", "belief_overlaps", "unfinished"):
             total = SweepFigures("3", 5, 1, False)
             total.add(figures(5, **{name: 1}))
-            values = Bounds.of(HarnessOptions()).judged(total.to_json())
+            values = Bounds.of(HarnessOptions()).with_verdict(total.to_json())
             self.assertEqual((values["ok"], values["bad_seeds"]), (False, ["5"]), name)
         beyond = Bounds.of(HarnessOptions(kinds=("skew-beyond",)))
-        self.assertTrue(beyond.judged(figures(5, belief_overlaps=1).to_json())["ok"])
+        self.assertTrue(beyond.with_verdict(figures(5, belief_overlaps=1).to_json())["ok"])
         slow = [HandoffTime("kill", 1700.0, True)]
         late = figures(5, handoffs=slow, times=HandoffFigures.of(slow))
-        self.assertFalse(Bounds.of(HarnessOptions()).judged(late.to_json())["ok"])
+        self.assertFalse(Bounds.of(HarnessOptions()).with_verdict(late.to_json())["ok"])
 
     def test_a_sweep_runs_each_seed_in_a_process_and_counts_those_that_ended(self) -> None:
         completed = command("fleet", "run", "--members", "1", "--nemesis", "none", "--seconds", "0.5",
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -91,7 +91,7 @@
 
 def make_attempt(request: Request, state: NodeState = NodeState.READY, sent_us: int = 0) -> Attempt:
     made = Attempt(request, request.attempts, Node("n", ADDRESS, 0, state), sent_us, request.deadline_us)
-    request.out[request.attempts] = made
+    request.in_flight[request.attempts] = made
     request.attempts += 1
     return made
 
@@ -141,7 +141,7 @@
         self.assertIsNone(self.gate.may_repeat(request, now), "nothing has run")
         if ended:
             request.first_run_us = first.sent_us
-            del request.out[0]
+            del request.in_flight[0]
         else:
             first.may_have_run = True
         self.assertEqual(self.gate.may_repeat(request, now) is None, now < window)
@@ -162,7 +162,7 @@
     def test_the_wait_stated_to_a_node_never_exceeds_the_time_left(self, now: int) -> None:
         request = make_request()
         attempt = make_attempt(request)
-        stated_us = self.gate.wait_told_us(replace(attempt, deadline_us=attempt.deadline_us + S), now)
+        stated_us = self.gate.stated_wait_us(replace(attempt, deadline_us=attempt.deadline_us + S), now)
         self.assertLessEqual(stated_us, max(0, request.deadline_us - now))
 
     def test_a_client_with_an_owed_answer_or_unread_bytes_is_not_closed(self) -> None:
@@ -239,10 +239,10 @@
         engine.violations = self.pool.violations = ViolationLog(engine.counters, -50 * MS)
         with mock.patch.object(Gate, "may_repeat", lambda *_: None):
             self.disable_gate()
-            self.held_at_gate(engine, SAFE)
-            self.told(engine, "n", NodeState.DRAINING)
+            self.start_held_request(engine, SAFE)
+            self.apply_state(engine, "n", NodeState.DRAINING)
             gevent.sleep(0.01)
-            self.let_go(engine)
+            self.release(engine)
             wait_until(lambda: engine.counters["violations.drain"] == 1, "counted")
 
     def test_a_repeat_after_its_key_expired_is_counted(self) -> None:
@@ -254,10 +254,10 @@
         _, results = self.ask(engine, KEYED)
         self.assertTrue(self.at_gate.wait(5))
         self.at_gate.clear()
-        self.gate.clear()
+        self.connect_gate.clear()
         self.assertTrue(self.at_gate.wait(5), "the repeat connects")
         gevent.sleep(CLASSES[KEYED].key_ttl_us / 1e6 + 0.1)
-        self.let_go(engine)
+        self.release(engine)
         wait_until(lambda: bool(results), "answered")
         self.assertEqual(engine.counters["violations.duplicate"], 1)
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -126,7 +126,7 @@
         for _ in range(100):
             for g in gateways:
                 g.wait(100 * MS)
-                g.ask(grace_us=S)
+                g.arrive(time_left_us=S)
                 while out := [(t, a) for t, a in g.log if isinstance(a, Send)]:
                     g.log.clear()
                     for t, a in out:
--- a/tests/test_limit_sharing.py
+++ b/tests/test_limit_sharing.py
@@ -37,7 +37,7 @@
 from stackrouter.sharing.presence import SocketPresence
 from stackrouter.sharing.records import RECORD_BYTES, Record, RecordKind, RecordReader
 from stackrouter.sharing.replay import ReplayedBuckets
-from stackrouter.sharing.socket_limits import CLIENTS, ProcessRooms, SharedSocketLimit
+from stackrouter.sharing.socket_limits import CLIENTS, ProcessSocketLimits, SharedSocketLimit
 from tests.exchange import ROOT
 
 MS, S = 1_000, 1_000_000
@@ -172,7 +172,7 @@
         """Scan for the other processes, as at the beginning of a step."""
         if self.buckets is not None:
             self.world.now += SCAN_MAX_AGE_US
-            self.buckets.refresh(self.world.now)
+            self.buckets.scan_processes(self.world.now)
 
     def turn(self) -> None:
         if self.buckets is None:
@@ -182,13 +182,13 @@
 
     def _turn(self, buckets: SharedBuckets, now: int) -> None:
         """Like a step of the engine: scan, decide by one clock reading, claim, decide again, send."""
-        buckets.refresh(now)
+        buckets.scan_processes(now)
         if not self.unsent and buckets.mode is not None and not hasattr(self, "begun"):
             self.begun = True
             buckets.begin(now)
         for _ in range(3):
             self._spend(buckets, now)
-            if not buckets.exchange(now):
+            if not buckets.exchange_claims(now):
                 break
             buckets.events()
         for charge, units, spent_at in self.unsent:
@@ -202,7 +202,7 @@
             if buckets.wait_us(part(), units, now) > 0:
                 return
             buckets.spend(part(), units, now)
-            self.unsent.append((buckets.charge(now), units, now))
+            self.unsent.append((buckets.reservation(now), units, now))
 
     def _send(self, buckets: SharedBuckets, charge: object, units: float, spent_at: int) -> None:
         """The gate's check, then the write. The protocol's slack allows for a suspension between the two."""
@@ -211,7 +211,7 @@
         if world.random.random() < 0.05:
             buckets.release(part(), units, spent_at, world.now)  # it could not be written
             return
-        if not buckets.may_draw(charge, world.now):
+        if not buckets.may_spend(charge, world.now):
             buckets.release(part(), units, spent_at, world.now)
             return
         buckets.written(part(), units, world.now)
@@ -306,9 +306,9 @@
     """Spend and send all units that the process may at this time; returns their number."""
     buckets, now, spent = process.buckets, process.world.now, 0.0
     assert buckets is not None
-    buckets.refresh(now)
+    buckets.scan_processes(now)
     for _ in range(100):
-        if buckets.wait_us(part(), 1.0, now) > 0 and not (buckets.exchange(now) and buckets.events()):
+        if buckets.wait_us(part(), 1.0, now) > 0 and not (buckets.exchange_claims(now) and buckets.events()):
             break
         if buckets.wait_us(part(), 1.0, now) == 0:
             buckets.spend(part(), 1.0, now)
@@ -326,7 +326,7 @@
 
 
 def spend_without_setting_aside(self: LimitBuckets, part: LimitPart, units: float, now: int) -> None:
-    self._filled(part, now).tokens -= units
+    self._refilled_bucket(part, now).tokens -= units
 
 
 def credit_any_return(self: ReplayedBuckets, record: Record) -> float:
@@ -512,7 +512,7 @@
     def test_where_counts_cannot_be_published_each_is_limited_to_a_third(self) -> None:
         counts = MemoryCounts({}, 0)
         with mock.patch.object(counts, "publish", side_effect=OSError("not here")):
-            self.assertEqual(ProcessRooms(counts).most((90, 1), (60, 1)), (30, 20))
+            self.assertEqual(ProcessSocketLimits(counts).allowed((90, 1), (60, 1)), (30, 20))
 
 
 class Files(unittest.TestCase):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -40,7 +40,7 @@
             gateways[index] = Gateway(now=now)
         gateway = gateways[index]
         sizes[f"q{number}"] = units
-        gateway.ask(plan=LIMITED_PLAN, units=units, gateways=3, name=f"q{number}")
+        gateway.arrive(plan=LIMITED_PLAN, units=units, gateways=3, name=f"q{number}")
         for request in [r for r in gateway.attempts if r in sizes]:
             gateway.answer(request, elsewhere=elsewhere)
             del gateway.attempts[request]
--- a/tests/test_list_pieces.py
+++ b/tests/test_list_pieces.py
@@ -16,8 +16,8 @@
 from stackrouter.core.counters import Counters
 from stackrouter.core.engine import Engine
 from stackrouter.membership import list_changes
-from stackrouter.membership.list_changes import PIECE, Address, ListChanges, Piece
-from stackrouter.net.list_applier import ListTaker
+from stackrouter.membership.list_changes import MAX_PIECE_ENTRIES, Address, ListChanges, Piece
+from stackrouter.net.list_applier import ListApplier
 from tests.gateway import SETTINGS
 
 PORT = 6379
@@ -64,21 +64,21 @@
 
 
 def apply_piece(engine: Engine, piece: Piece) -> None:
-    engine.listed(piece.kind, piece.version, piece.entries, dict(piece.addresses))
-    engine.turn()
+    engine.update_nodes(piece.kind, piece.version, piece.entries, dict(piece.addresses))
+    engine.process_events()
 
 
 def node_state(engine: Engine) -> tuple[object, ...]:
     """All that the engine and the decision module know of the nodes; checks the module's indices as well."""
     controller = engine.controller
-    for place, ready in enumerate(controller.listed):
-        assert ready.place == place
+    for place, ready in enumerate(controller.ready_nodes):
+        assert ready.ready_index == place
         assert ready.ready
-    assert {n.id for n in controller.listed} == {n.id for n in controller.nodes.values() if n.ready}
+    assert {n.id for n in controller.ready_nodes} == {n.id for n in controller.nodes.values() if n.ready}
     assert set(controller.leaving) == {n.id for n in controller.nodes.values() if not n.ready}
     return (
         {n.name: (n.address, n.shard, n.state) for n in engine.nodes.values()},
-        {n.id: (n.shard, n.zone, n.ready, n.history.launched) for n in controller.nodes.values()},
+        {n.id: (n.shard, n.zone, n.ready, n.history.launched_us) for n in controller.nodes.values()},
         {number: {n.id for n in s.nodes} for number, s in controller.shards.items() if s.nodes},
     )
 
@@ -94,13 +94,13 @@
         self, lists: list[ArrivedList], piece: int, compared: int
     ) -> None:
         at_once, in_pieces, changes = new_engine(), new_engine(), ListChanges()
-        with mock.patch.object(list_changes, "PIECE", piece), mock.patch.object(
+        with mock.patch.object(list_changes, "MAX_PIECE_ENTRIES", piece), mock.patch.object(
             list_changes, "MAX_COMPARED_PER_PIECE", compared
         ):  # fmt: skip
             for version, arrived in enumerate(lists, 1):
                 addresses = addresses_of(arrived.entries)
-                at_once.listed(arrived.kind, version, arrived.entries, addresses)
-                at_once.turn()
+                at_once.update_nodes(arrived.kind, version, arrived.entries, addresses)
+                at_once.process_events()
                 changes.add(arrived.kind, version, arrived.entries, addresses)
                 for _ in range(arrived.pieces):
                     if (taken := changes.next_piece()) is not None:
@@ -118,7 +118,7 @@
         return pieces
 
     def test_short_list_is_given_out_unmodified(self) -> None:
-        changes, entries = ListChanges(), ready_nodes(PIECE)
+        changes, entries = ListChanges(), ready_nodes(MAX_PIECE_ENTRIES)
         changes.add(ListKind.FULL, 1, entries, addresses_of(entries))
         changes.add(ListKind.DELTA, 2, entries[:1], addresses_of(entries[:1]))
         first, second = self.take_all(changes)[:2]
@@ -126,7 +126,7 @@
         self.assertEqual(second.kind, ListKind.DELTA)
 
     def test_draining_nodes_come_first_and_unlisted_nodes_last(self) -> None:
-        count = 4 * PIECE
+        count = 4 * MAX_PIECE_ENTRIES
         changes, entries = ListChanges(), ready_nodes(count)
         changes.add(ListKind.FULL, 1, entries, addresses_of(entries))
         self.take_all(changes)
@@ -138,7 +138,7 @@
         self.assertEqual(states, [READY] * count + [GONE] * (count - 1))
 
     def test_only_changed_nodes_are_given_out(self) -> None:
-        changes, entries = ListChanges(), ready_nodes(8 * PIECE)
+        changes, entries = ListChanges(), ready_nodes(8 * MAX_PIECE_ENTRIES)
         changes.add(ListKind.FULL, 1, entries, addresses_of(entries))
         self.take_all(changes)
         entries[5] = NodeEntry("n5", 5, zone=1)
@@ -150,7 +150,7 @@
 
     def test_whole_list_without_changes_is_still_reported(self) -> None:
         """The decision module requests a list again if no answer is reported to it."""
-        changes, entries = ListChanges(), ready_nodes(2 * PIECE)
+        changes, entries = ListChanges(), ready_nodes(2 * MAX_PIECE_ENTRIES)
         changes.add(ListKind.FULL, 1, entries, addresses_of(entries))
         self.take_all(changes)
         changes.add(ListKind.FULL, 2, entries, addresses_of(entries))
@@ -159,15 +159,15 @@
 
     def test_newer_list_from_another_greenlet_overrides_pieces_in_progress(self) -> None:
         applied: list[tuple[int, Sequence[NodeEntry]]] = []
-        taker = ListTaker(lambda kind, version, entries, addresses: applied.append((version, entries)))
-        entries = ready_nodes(6 * PIECE)
-        first = gevent.spawn(taker.take, ListKind.FULL, 1, entries, addresses_of(entries))
+        applier = ListApplier(lambda kind, version, entries, addresses: applied.append((version, entries)))
+        entries = ready_nodes(6 * MAX_PIECE_ENTRIES)
+        first = gevent.spawn(applier.apply, ListKind.FULL, 1, entries, addresses_of(entries))
         with gevent.Timeout(10):
             while len(applied) < 2:
                 gevent.sleep(0)
             # A node of the last piece drains before that piece is applied; one of the first is removed.
             newer = [NodeEntry(entries[-1].node, 0, DRAINING), NodeEntry("n0", 0, GONE)]
-            taker.take(ListKind.DELTA, 2, newer, addresses_of(newer))
+            applier.apply(ListKind.DELTA, 2, newer, addresses_of(newer))
             first.join()
         self.assertEqual([e.state for _, p in applied for e in p if e.node == entries[-1].node], [DRAINING])
         self.assertEqual([e.state for _, p in applied for e in p if e.node == "n0"], [READY, GONE])
@@ -192,8 +192,8 @@
         greenlet = gevent.spawn(reader)
         self.addCleanup(greenlet.kill)
         gevent.sleep(0)
-        entries = ready_nodes(6 * PIECE)
-        ListTaker(applied).take(ListKind.FULL, 1, entries, addresses_of(entries))
+        entries = ready_nodes(6 * MAX_PIECE_ENTRIES)
+        ListApplier(applied).apply(ListKind.FULL, 1, entries, addresses_of(entries))
         self.assertEqual(reads_before_piece[:6], list(range(6)))
 
     def test_error_while_a_piece_is_applied_does_not_stop_later_lists(self) -> None:
@@ -204,10 +204,10 @@
                 raise RuntimeError("planted")
             applied.append(version)
 
-        taker = ListTaker(broken_once)
+        applier = ListApplier(broken_once)
         with self.assertRaisesRegex(RuntimeError, "planted"):
-            taker.take(ListKind.FULL, 1, ready_nodes(3), addresses_of(ready_nodes(3)))
-        taker.take(ListKind.DELTA, 2, ready_nodes(1), addresses_of(ready_nodes(1)))
+            applier.apply(ListKind.FULL, 1, ready_nodes(3), addresses_of(ready_nodes(3)))
+        applier.apply(ListKind.DELTA, 2, ready_nodes(1), addresses_of(ready_nodes(1)))
         self.assertEqual(applied, [2])
 
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -18,14 +18,14 @@
     started_at = gateways[0].now
     for gateway in gateways:
         for n in range(4):
-            gateway.ask(volume=f"v{n}", units=2.0, grace_us=3 * S)
+            gateway.arrive(volume=f"v{n}", units=2.0, time_left_us=3 * S)
         gateway.handle(ListUpdate(ListKind.FULL, (node_entry("n0", 0, launched_us=started_at),)))
     sends: list[tuple[int, float]] = []
     served = 0
     for step in range(80):
         for i, gateway in enumerate(gateways):
             gateway.wait(100 * MS)
-            gateway.ask(units=2.0)
+            gateway.arrive(units=2.0)
             sends += [(t, 2.0) for t, a in gateway.log if isinstance(a, Send)]
             new = [a for _, a in gateway.log if isinstance(a, Send)]
             gateway.log.clear()
@@ -33,7 +33,7 @@
                 served += 1
                 gateway.answer(send.request, Outcome.DONE if answered else Outcome.TIMEOUT, closed=True)
             if restart and step == 10 and i % 2:
-                gateways[i] = Gateway(gateway.controller.s, nodes=0, now=gateway.now)
+                gateways[i] = Gateway(gateway.controller.settings, nodes=0, now=gateway.now)
                 gateways[i].handle(ListUpdate(ListKind.FULL, (node_entry("n0", 0, launched_us=started_at),)))
     return sends, started_at
 
@@ -72,7 +72,7 @@
             for k in range(8):
                 # More requests arrive for the cold node than are admitted.
                 if (shard := (i + 5 * k) % 40) == 0 or step % 10 == k:
-                    gateway.ask(volume=f"v{k}", shard=shard, units=2.0, grace_us=S)
+                    gateway.arrive(volume=f"v{k}", shard=shard, units=2.0, time_left_us=S)
             while out := [(t, a) for t, a in gateway.log if isinstance(a, Send)]:
                 gateway.log.clear()
                 for t, a in out:  # an answer may admit the next request
@@ -104,9 +104,9 @@
                 started_at = gateway.now
                 gateway.handle(ListUpdate(ListKind.DELTA, (node_entry("n0", 0, launched_us=started_at),)))
             if step == 90 and restarted:
-                gateway = gateways[i] = Gateway(gateway.controller.s, nodes=90, now=gateway.now)
+                gateway = gateways[i] = Gateway(gateway.controller.settings, nodes=90, now=gateway.now)
                 gateway.handle(ListUpdate(ListKind.DELTA, (node_entry("n0", 0, launched_us=started_at),)))
-            gateway.ask(volume=f"v{step % 4}", shard=0 if step % 4 == 0 else 1 + (i + step) % 6, units=2.0)
+            gateway.arrive(volume=f"v{step % 4}", shard=0 if step % 4 == 0 else 1 + (i + step) % 6, units=2.0)
             while out := [a for _, a in gateway.log if isinstance(a, Send)]:
                 gateway.log.clear()
                 for a in out:
--- a/tests/test_node_crossings.py
+++ b/tests/test_node_crossings.py
@@ -20,7 +20,7 @@
 from stackrouter.core.model import Attempt, Request, Result, Verdict
 from stackrouter.fronts.platform.node import Command
 from stackrouter.net.pool import Pool
-from tests.races import PATIENCE_S, TIMES, wait_until
+from tests.races import PATIENCE_S, REPETITIONS, wait_until
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 SERVED = b"*3\r\n$1\r\n1\r\n$-1\r\n$-1\r\n"
@@ -37,7 +37,7 @@
 
 
 class Nodes(unittest.TestCase):
-    """Engine, pool and a node on loopback; `gate` holds attempts whose connection has just been opened."""
+    """Engine, pool and a node on loopback; `connect_gate` holds attempts whose connection is newly opened."""
 
     def setUp(self) -> None:
         self.commands: list[bytes] = []
@@ -46,8 +46,8 @@
         self.server.start()
         self.addCleanup(self.server.stop)
         self.address = ("127.0.0.1", int(self.server.server_port or 0))
-        self.at_gate, self.gate = Event(), Event()
-        self.gate.set()
+        self.at_gate, self.connect_gate = Event(), Event()
+        self.connect_gate.set()
 
     def node(self, sock: socket.socket, _: object) -> None:
         while data := sock.recv(65536):
@@ -65,26 +65,26 @@
     def start(self, cancel: bool = True) -> Engine:
         settings = Settings(classes=CLASSES, plans=(Plan(),), max_attempts=3, may_cancel=cancel, step_us=2000)
         engine = Engine(settings, 100, Counters())
-        pool = Pool(10, 1 << 20, 250_000, 15_000_000, engine.counters, engine.ended, engine.gate)
+        pool = Pool(10, 1 << 20, 250_000, 15_000_000, engine.counters, engine.attempt_ended, engine.gate)
         engine.transport = pool
         connect = pool._connect
 
         def gated_connect(attempt: Attempt) -> Any:
             connection = connect(attempt)
             self.at_gate.set()
-            self.gate.wait()
+            self.connect_gate.wait()
             return connection
 
         self.enterContext(mock.patch.object(pool, "_connect", gated_connect))
         greenlet = gevent.spawn(engine.run)
         self.addCleanup(greenlet.kill)
-        self.told(engine, "n", NodeState.READY, ListKind.CACHED)
+        self.apply_state(engine, "n", NodeState.READY, ListKind.CACHED)
         self.pool = pool
         return engine
 
-    def told(self, engine: Engine, name: str, state: NodeState, kind: ListKind = ListKind.DELTA,
-             address: tuple[str, int] | None = None) -> None:  # fmt: skip
-        engine.listed(kind, 1, [NodeEntry(name, 0, state)], {name: address or self.address})
+    def apply_state(self, engine: Engine, name: str, state: NodeState, kind: ListKind = ListKind.DELTA,
+                    address: tuple[str, int] | None = None) -> None:  # fmt: skip
+        engine.update_nodes(kind, 1, [NodeEntry(name, 0, state)], {name: address or self.address})
 
     def ask(self, engine: Engine, cls: int = SAFE) -> tuple[Request, list[Result]]:
         results: list[Result] = []
@@ -94,16 +94,16 @@
         engine.submit(request)
         return request, results
 
-    def held_at_gate(self, engine: Engine, cls: int = SAFE) -> tuple[Request, list[Result]]:
+    def start_held_request(self, engine: Engine, cls: int = SAFE) -> tuple[Request, list[Result]]:
         self.at_gate.clear()
-        self.gate.clear()
+        self.connect_gate.clear()
         asked = self.ask(engine, cls)
         self.assertTrue(self.at_gate.wait(PATIENCE_S))
         return asked
 
-    def let_go(self, engine: Engine) -> None:
+    def release(self, engine: Engine) -> None:
         gevent.sleep(0.002)
-        self.gate.set()
+        self.connect_gate.set()
         gevent.sleep(0.01)
 
     def test_withdrawal_or_drain_during_a_slow_connect_prevents_the_write(self) -> None:
@@ -111,33 +111,33 @@
         allow no cancel."""
         for cancel in (True, False):
             engine = self.start(cancel)
-            for i in range(TIMES):
+            for i in range(REPETITIONS):
                 with self.subTest("the client leaves", cancel=cancel, i=i):
-                    request, _ = self.held_at_gate(engine)
+                    request, _ = self.start_held_request(engine)
                     engine.withdraw(request)
-                    self.let_go(engine)
+                    self.release(engine)
                     self.assertEqual(self.commands, [])
                     self.assertFalse(engine.requests)
                     self.pool.close_all_idle()
             for state in (NodeState.DRAINING, NodeState.GONE):
                 with self.subTest("the node", state=state):
-                    request, results = self.held_at_gate(engine)
-                    self.told(engine, "n", state)
-                    self.let_go(engine)
+                    request, results = self.start_held_request(engine)
+                    self.apply_state(engine, "n", state)
+                    self.release(engine)
                     self.assertEqual(self.commands, [])
                     engine.withdraw(request)
-                    self.told(engine, "n", NodeState.READY, ListKind.FULL)
+                    self.apply_state(engine, "n", NodeState.READY, ListKind.FULL)
                     self.pool.close_all_idle()
 
     def test_unread_client_hangup_is_detected_before_the_write(self) -> None:
         """Guards against a process that is delayed between its decision and its write, and writes the request
         of a client that has left meanwhile."""
         engine = self.start()
-        for i in range(TIMES):
+        for i in range(REPETITIONS):
             with self.subTest(i):
-                request, _ = self.held_at_gate(engine)
-                request.client_left = lambda: True
-                self.let_go(engine)
+                request, _ = self.start_held_request(engine)
+                request.client_hung_up = lambda: True
+                self.release(engine)
                 self.assertEqual(self.commands, [])
                 self.assertGreater(engine.counters["denied.client_gone"], i)
                 engine.withdraw(request)
@@ -149,9 +149,9 @@
         other = StreamServer(("127.0.0.1", 0), self.serve_other)
         other.start()
         self.addCleanup(other.stop)
-        _, results = self.held_at_gate(engine)
-        self.told(engine, "n", NodeState.READY, address=("127.0.0.1", int(other.server_port or 0)))
-        self.let_go(engine)
+        _, results = self.start_held_request(engine)
+        self.apply_state(engine, "n", NodeState.READY, address=("127.0.0.1", int(other.server_port or 0)))
+        self.release(engine)
         wait_until(lambda: bool(results), "answered from the new address")
         self.assertEqual((self.commands, results[0].verdict), ([], Verdict.SERVED))
 
@@ -164,10 +164,10 @@
         self.at_gate.wait(PATIENCE_S)
         began = time.monotonic()
         self.at_gate.clear()
-        self.gate.clear()
+        self.connect_gate.clear()
         self.assertTrue(self.at_gate.wait(PATIENCE_S), "the repeat connects")
         wait_until(lambda: time.monotonic() > began + 0.31, "the window is over")
-        self.let_go(engine)
+        self.release(engine)
         wait_until(lambda: bool(results), "answered")
         self.assertEqual((len(self.commands), results[0].verdict), (1, Verdict.FAILED))
 
@@ -192,7 +192,7 @@
                     _, results = self.ask(engine)
                     wait_until(lambda r=results: bool(r), "answered")  # type: ignore[misc]
                 self.assertIs(results[0].verdict, Verdict.SERVED)
-                self.assertEqual(engine.controller.nodes["n"].broken, 0)
+                self.assertEqual(engine.controller.nodes["n"].broken_connections, 0)
                 self.assertEqual(engine.counters["attempts.connect_failed"], 0)
 
     def test_transient_read_and_write_errors_are_retried(self) -> None:
@@ -237,12 +237,12 @@
 
     def test_request_withdrawn_while_a_repeat_waits_is_not_sent_again(self) -> None:
         engine = self.start()
-        for i in range(TIMES):
+        for i in range(REPETITIONS):
             with self.subTest(i):
                 self.commands.clear()
                 self.replies = [b"-BUSY\r\n"]  # the node is not used for a while, and the request waits
                 request, results = self.ask(engine)
-                wait_until(lambda r=request: r.attempts == 1 and not r.out, "refused with BUSY")  # type: ignore[misc]
+                wait_until(lambda r=request: r.attempts == 1 and not r.in_flight, "refused with BUSY")  # type: ignore[misc]
                 engine.withdraw(request)
                 wait_until(lambda: not engine.requests, "forgotten")
                 self.assertEqual((len(self.commands), results), (1, []))
@@ -251,7 +251,7 @@
 
     def test_attempt_cancelled_while_waiting_for_stray_bytes_is_not_written(self) -> None:
         engine = self.start()
-        for i in range(TIMES):
+        for i in range(REPETITIONS):
             with self.subTest(i):
                 self.replies = [SERVED]
                 _, results = self.ask(engine)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -98,9 +98,9 @@
     def test_a_request_behind_others_that_need_the_next_tokens_is_refused_at_once(self) -> None:
         """Guards against a wait for tokens that requests ahead of it will use."""
         gateway = Gateway()
-        gateway.ask(plan=LIMITED_PLAN, units=3.0, gateways=4, name="a")  # 600 ms of the limit's rate each
-        gateway.ask(plan=LIMITED_PLAN, units=3.0, gateways=4, name="b")
-        gateway.ask(plan=LIMITED_PLAN, units=3.0, gateways=4, name="c")
+        gateway.arrive(plan=LIMITED_PLAN, units=3.0, gateways=4, name="a")  # 600 ms of the limit's rate each
+        gateway.arrive(plan=LIMITED_PLAN, units=3.0, gateways=4, name="b")
+        gateway.arrive(plan=LIMITED_PLAN, units=3.0, gateways=4, name="c")
         self.assertEqual((gateway.final_answers("b"), gateway.final_answers("c")), ([], [Refuse("c", 0)]))
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -112,13 +112,13 @@
     def test_idle_times_at_which_connections_were_found_dead_are_not_reused(self) -> None:
         reuse = Reuse()
         for i in range(200):
-            reuse.note(None, i % 10 == 0, 0.0)  # every tenth request is reset, whatever the connection
-            reuse.note(0.01, i % 10 == 0, 0.0)
+            reuse.record_use(None, i % 10 == 0, 0.0)  # every tenth request is reset, whatever the connection
+            reuse.record_use(0.01, i % 10 == 0, 0.0)
             if reuse.trusted(0.3):
-                reuse.note(0.3, i % 2 == 0, 0.0)
+                reuse.record_use(0.3, i % 2 == 0, 0.0)
         self.assertEqual([reuse.trusted(s) for s in (0.01, 0.3, 3.0)], [True, False, True])
         for now in range(0, 40, 2):
-            reuse.note(None, now % 10 == 0, now)
+            reuse.record_use(None, now % 10 == 0, now)
         self.assertTrue(reuse.trusted(0.3))  # observations expire, so it is tried again
 
     def test_after_a_delay_of_the_process_the_module_answers_before_the_backstop(self) -> None:
@@ -132,9 +132,9 @@
         engine.submit(
             Request(0, 0, "v", 1.0, 0, 1, "k", now[0] + 500_000, exchange, results.append, "platform")
         )
-        engine.turn()
+        engine.process_events()
         now[0] += 700_000  # the process was delayed
-        engine.turn()
+        engine.process_events()
         self.assertEqual([r.verdict for r in results], [Verdict.REFUSED])
         self.assertEqual(engine.counters["requests.overdue"], 0)
 
@@ -145,7 +145,7 @@
         settings = Settings(classes=(RequestClass(10_000_000, 10_000_000),), plans=(Plan(),))
         counters = Counters()
         engine = Engine(settings, 100, counters)
-        pool = engine.transport = Pool(10, 1 << 20, 250_000, 15_000_000, counters, engine.ended)
+        pool = engine.transport = Pool(10, 1 << 20, 250_000, 15_000_000, counters, engine.attempt_ended)
         loop = gevent.spawn(engine.run)
         self.addCleanup(loop.kill)
         held = []
@@ -156,13 +156,13 @@
             def answer(_: Result, done: Event = done) -> None:
                 done.set()
 
-            engine.listed(ListKind.FULL, i, [NodeEntry(node, 0)], {node: address})
+            engine.update_nodes(ListKind.FULL, i, [NodeEntry(node, 0)], {node: address})
             exchange = Command(b"BLK.READ", b"", b"", (), ()).exchange
             due = clock_us() + 10_000_000
             engine.submit(Request(0, 0, f"v{i}", 1.0, 0, 1, f"k{i}", due, exchange, answer, "platform"))
             held.append(weakref.ref(answer))
             self.assertTrue(request_received.wait(5.0))
-            engine.listed(ListKind.FULL, i, [], {})  # the node is removed while it has the request
+            engine.update_nodes(ListKind.FULL, i, [], {})  # the node is removed while it has the request
             while engine.nodes:
                 gevent.sleep(0)
             may_answer.set()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -15,17 +15,17 @@
 from hypothesis import strategies as st
 
 from stackrouter.coord.ledger import Ledger
-from stackrouter.coord.policy import OWN, PolicyStateMachine, Rules, Version
+from stackrouter.coord.policy import OWN, HeartbeatRules, PolicyStateMachine, Version
 from stackrouter.coord.port import Activate, ActiveSeen, PolicySeen, Present, Propose
-from stackrouter.fleet.check import Served, check_policy
+from stackrouter.fleet.check import VersionSample, check_policy
 from stackrouter.fleet.harness import Harness
 from stackrouter.fleet.options import HarnessOptions
 from stackrouter.fleet.policy_changes import PolicyChanges
-from tests.test_cli import run as command
+from tests.test_cli import run_cli as command
 from tests.test_fleet import POLICY_KEYS, RUN_KEYS
 
 MS = 1000
-RULES = Rules(validity_us=1000 * MS, max_drift_us=100 * MS)
+RULES = HeartbeatRules(validity_us=1000 * MS, max_drift_us=100 * MS)
 AFTER_US = 1500 * MS
 END_MS = 9000
 
@@ -42,7 +42,7 @@
         self.machines = [PolicyStateMachine(RULES) for _ in range(members)]
         self.log_position = [0] * members
         self.in_flight: list[tuple[int, int, int, int]] = []  # arrival, member, heartbeat number, log length
-        self.samples: list[Served] = []
+        self.samples: list[VersionSample] = []
 
     def commit(self, command: Propose | Activate | Present) -> None:
         _, events = self.ledger.apply(command)
@@ -56,7 +56,7 @@
                 self.machines[i].version_activated(event.number)
         self.log_position[i] = max(self.log_position[i], log_length)
 
-    def run(self) -> list[Served]:
+    def run(self) -> list[VersionSample]:
         for ms in range(0, END_MS, 5):
             now = ms * MS
             if ms in self.changes:
@@ -78,10 +78,12 @@
                     if (due := machine.activation_due(now)) is not None:
                         self.commit(Activate(f"m{i}", due))
                 if (version := machine.next_version()) is not None:
-                    machine.version_taken(version, now, True)
+                    machine.version_applied(version, now, True)
                 if machine.serves(now):
                     at = ms * 1_000_000
-                    self.samples.append(Served(at, machine.serving.number, machine.serving.digest, f"m{i}#1"))
+                    self.samples.append(
+                        VersionSample(at, machine.serving.number, machine.serving.digest, f"m{i}#1")
+                    )
         return self.samples
 
 
@@ -113,7 +115,9 @@
         machine.heartbeat_answered(1, True, 10)
         self.assertTrue(machine.ready(20) and machine.serves(20))
         self.assertFalse(machine.serves(900 * MS))
-        self.assertTrue(PolicyStateMachine(Rules(1000 * MS, 0, refuse=False), _valid_until=0).serves(hour))
+        self.assertTrue(
+            PolicyStateMachine(HeartbeatRules(1000 * MS, 0, refuse=False), _valid_until=0).serves(hour)
+        )
         # While it was partitioned, two versions were committed and one was activated.
         machine.version_committed(Version(1, "a", "{}", AFTER_US), hour)
         machine.version_activated(1)
@@ -121,7 +125,7 @@
         self.assertFalse(machine.ready(hour))
         taken = machine.next_version()
         assert taken is not None and taken.number == 1
-        machine.version_taken(taken, hour, True)
+        machine.version_applied(taken, hour, True)
         machine.heartbeat_sent(2, hour)
         machine.heartbeat_answered(2, True, hour + 5)
         self.assertTrue(machine.ready(hour + 10))
@@ -131,7 +135,7 @@
 
     def test_a_member_that_cannot_apply_the_active_version_does_not_serve(self) -> None:
         machine = PolicyStateMachine(RULES, _valid_until=1 << 60)
-        machine.version_taken(Version(1, "a", "{}", AFTER_US), 0, False)
+        machine.version_applied(Version(1, "a", "{}", AFTER_US), 0, False)
         self.assertEqual((machine.serving.number, machine.ready(1), machine.serves(1)), (OWN, False, False))
 
     def test_concurrent_changes_are_refused_and_the_check_finds_uncommitted_versions(self) -> None:
@@ -139,7 +143,7 @@
         self.assertEqual(ledger.apply(Propose("a", 0, "x", "{}", AFTER_US))[0], "")
         self.assertEqual(ledger.apply(Propose("b", 0, "y", "{}", AFTER_US))[0], "base")
         self.assertEqual(ledger.apply(Activate("b", 2))[0], "active")  # not committed yet
-        bad = check_policy([Served(1, 1, "y", "m#1")], [[(1, "x")], [(1, "x")]])
+        bad = check_policy([VersionSample(1, 1, "y", "m#1")], [[(1, "x")], [(1, "x")]])
         self.assertEqual((bad.uncommitted_served, bad.twins), (1, 0))
         self.assertEqual(check_policy([], [[(1, "x")], [(1, "y")]]).twins, 1)
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -7,11 +7,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stackrouter.coord.quota import Allocator, Grant, Holder, Report, Terms, max_min_fair
+from stackrouter.coord.quota import Allocator, Grant, GrantHolder, QuotaParameters, Report, max_min_fair
 from stackrouter.model.limits import LimitsModel, Scene
 
 MS = 1000
-TERMS = Terms(members=3, ttl_us=1000 * MS, max_drift_us=100 * MS)
+TERMS = QuotaParameters(members=3, ttl_us=1000 * MS, max_drift_us=100 * MS)
 
 
 def report(member: str, want: float, token: int = 1, holding: int = 0, part: float = 0.0) -> Report:
@@ -60,14 +60,14 @@
         self.assertAlmostEqual(silent.report(report("a", 1.0, token=3), 1000 * MS).parts["v"], 0.95)
 
     def test_a_grant_is_valid_from_its_reports_sending_and_a_late_or_older_one_is_ignored(self) -> None:
-        holder = Holder(TERMS)
+        holder = GrantHolder(TERMS)
         self.assertAlmostEqual(holder.part("v", 0), 0.05 / 3)
-        self.assertTrue(holder.granted(Grant(2, 5, {"v": 0.5}), 0, 100 * MS))
+        self.assertTrue(holder.apply_grant(Grant(2, 5, {"v": 0.5}), 0, 100 * MS))
         self.assertAlmostEqual(holder.part("v", 899 * MS), 0.5 + 0.05 / 3)
         self.assertAlmostEqual(holder.part("v", 900 * MS), 0.05 / 3)
         for older in (Grant(1, 9, {"v": 0.9}), Grant(2, 5, {"v": 0.9})):
-            self.assertFalse(holder.granted(older, 850 * MS, 860 * MS))
-        self.assertFalse(holder.granted(Grant(2, 6, {"v": 0.9}), 0, 900 * MS))
+            self.assertFalse(holder.apply_grant(older, 850 * MS, 860 * MS))
+        self.assertFalse(holder.apply_grant(Grant(2, 6, {"v": 0.9}), 0, 900 * MS))
         self.assertEqual(holder.report("a", {}, 900 * MS).parts, {})
 
 
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -153,7 +153,7 @@
         self.fleet: object = None
         self.index = -1
 
-    def follow(self, listing: dict[str, Any]) -> None:
+    def apply_relayed(self, listing: dict[str, Any]) -> None:
         self.index = listing["index"]
 
 
@@ -201,7 +201,8 @@
 
     def test_hollow_and_real_gateways_exchange_the_same_frames(self) -> None:
         wait_for(lambda: self.machine.report(boottime_us()).ready, "the replica is not ready")
-        self.real.told(None, {"index": 2})  # a gateway asks discovery first, then follows the replica
+        # A gateway asks discovery first, then follows the replica.
+        self.real.listing_received(None, {"index": 2})
         self.hollow.start()
         self.real.start()
         wait_for(lambda: self.hollow.nodes_index == 3 == self.discovery.index, "list not received")
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -16,7 +16,7 @@
 from stackrouter.errors import TraceError
 from stackrouter.trace import facts_pb2 as pb
 from stackrouter.trace.codec import Header, Plan, decode, encode
-from stackrouter.trace.format import Damage, Place, blocks, pack, pack_index, read_index
+from stackrouter.trace.format import BlockPosition, Damage, blocks, pack, pack_index, read_index
 from stackrouter.trace.read import merge, open_traces
 from stackrouter.trace.record import BLOCK_FACTS, Recorder, Sink
 
@@ -83,7 +83,7 @@
         batch = [
             facts.GivenUp(2_000 + i * block_facts + j, i * block_facts + j + 1) for j in range(block_facts)
         ]
-        places.append(Place(len(data), i * block_facts))
+        places.append(BlockPosition(len(data), i * block_facts))
         data += pack(encode(HEADER, i * block_facts, 0, batch), i * block_facts)
     return data + pack_index(places)
 
