--- a/benchmarks/scale_sweep.py
+++ b/benchmarks/scale_sweep.py
@@ -82,7 +82,7 @@
         process.communicate()
         return entry | {"failed": f"did not end within {RUN_TIMEOUT_S:g} s"}
     if not stdout.strip():
-        return entry | {"failed": stderr.strip().splitlines()[-1] if stderr.strip() else "no output"}
+        return entry | {"failed": stderr.strip().splitlines()[-1] if stderr.strip() else "said nothing"}
     return entry | json.loads(stdout.splitlines()[-1])
 
 
--- a/stackrouter/__main__.py
+++ b/stackrouter/__main__.py
@@ -295,7 +295,7 @@
 def load_extras(config: Config) -> OptionalParts | None:
     """Loads the features that the operator's file turns on; without a file their modules aren't imported."""
     if os.environ.get("GW_SFTP"):
-        what = "is no more supported: set GW_EDGE to a file like deploy/edge.txtpb, with a section sftp"
+        what = "is no longer supported: set GW_EDGE to a file like deploy/edge.txtpb, with a section sftp"
         raise VariableError(what, key="GW_SFTP")
     path = os.environ.get("GW_EDGE")
     if not path:
--- a/stackrouter/controlplane/gateway.py
+++ b/stackrouter/controlplane/gateway.py
@@ -78,7 +78,7 @@
             return ""
         failed = self.policy.failed
         return (
-            f"policy {failed} cannot be taken here" if failed else "no valid heartbeat to the control plane"
+            f"policy {failed} cannot be applied here" if failed else "no valid heartbeat to the control plane"
         )
 
     def status(self) -> str:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize(
     ("environ", "error"),
     [
-        ({"GW_SFTP": "x.toml"}, "GW_SFTP: is no more"),
+        ({"GW_SFTP": "x.toml"}, "GW_SFTP: is no longer"),
         ({"GW_EDGE": "/none/edge.txtpb"}, "/none/edge.txtpb: No such file"),
     ],
 )
