--- a/stackrouter/net/listener.py
+++ b/stackrouter/net/listener.py
@@ -321,7 +321,7 @@
                  session: Callable[[Callable[[], None]], Session], timeouts: ClientTimeouts,
                  busy: bytes, inherited: int | None = None, drain: Drain | None = None,
                  gate: Gate | None = None) -> None:  # fmt: skip
-        """`most`: cap on client sockets. `session`: makes a session, given a function that wakes the writer.
+        """`session`: makes a session, given a function that wakes the writer.
         `busy`: reply to clients over the cap. `inherited`: descriptor of a listening socket, used instead of
         binding `address`. ListenError: the address cannot be bound.
 
--- a/stackrouter/soak/run.py
+++ b/stackrouter/soak/run.py
@@ -55,7 +55,7 @@
 
 
 class Soak:
-    """A single soak; `play` can be called once. `folder`: where to keep files and logs."""
+    """A single soak; `run` can be called once. `folder`: where to keep files and logs."""
 
     def __init__(self, options: SoakOptions, folder: Path | None = None) -> None:
         self.options = options
