--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -21,7 +21,7 @@
 
 from rackseam.interface import NodeEntry, NodeState, Outcome, Send
 from stackrouter.core.counters import Counters
-from stackrouter.membership.asking import CallScheduler
+from stackrouter.membership.call_scheduler import CallScheduler
 from stackrouter.membership.listing import Listing
 from stackrouter.net.discovery import Discovery, call_timing
 from tests.gateway import MS, SETTINGS, Gateway, S
@@ -126,7 +126,7 @@
         for _ in range(100):
             for g in gateways:
                 g.wait(100 * MS)
-                g.ask(grace_us=S)
+                g.arrive(time_left_us=S)
                 while out := [(t, a) for t, a in g.log if isinstance(a, Send)]:
                     g.log.clear()
                     for t, a in out:
