--- a/stackrouter/__main__.py
+++ b/stackrouter/__main__.py
@@ -229,14 +229,14 @@
             began = self.drain.standby(now)
             self.counters.add("drains.begun" if began else "drains.again")
             logger.info(
-                "standby: PING is negative, client connections are closed once their answers are written"
+                "standby: PING answers -ERR draining, client connections are closed once their answers are written"
             )
             for listener in self.listeners:
                 listener.close_drained()
             return f"SUCCESS {self.drain.status(now)}"
         if call == "active":
             self.counters.add("drains.ended" if self.drain.active() else "drains.none")
-            logger.info("active: PING is positive")
+            logger.info("active: PING answers +PONG")
             return "SUCCESS serving"
         if call.startswith("policy ") and self.extras is not None:
             return self.extras.policy_call(call)
--- a/stackrouter/ops/drain.py
+++ b/stackrouter/ops/drain.py
@@ -23,7 +23,7 @@
 
     @property
     def serving(self) -> bool:
-        """Whether PING is answered positively: true unless a drain is in progress."""
+        """Whether PING is answered +PONG: true unless a drain is in progress."""
         return self.since is None
 
     def standby(self, now: float) -> bool:
