--- a/stackrouter/__main__.py
+++ b/stackrouter/__main__.py
@@ -217,7 +217,8 @@
 
     def answer(self, call: str) -> str:
         """Answers a call on the admin port. `status`: whether this process serves; `standby`: begins a drain
-        (PING is negative, connections are closed once all answers on them are written); `active`: ends it."""
+        (PING answers -ERR draining, connections close once all answers on them are written); `active`: ends
+        it."""
         now = time.monotonic()
         if call == "status":
             if self._terminated.is_set():
@@ -229,7 +230,7 @@
             began = self.drain.standby(now)
             self.counters.add("drains.begun" if began else "drains.again")
             logger.info(
-                "standby: PING answers -ERR draining, client connections are closed once their answers are written"
+                "standby: PING answers -ERR draining, client connections close once their answers are written"
             )
             for listener in self.listeners:
                 listener.close_drained()
